--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -22,12 +22,12 @@
 };
 
 /// Ranks of one importance.
-pub const BAND: u16 = 256;
+pub const RANKS_PER_IMPORTANCE: u16 = 256;
 /// The level that sheds everything.
-pub const TOP: u16 = BAND * Importance::ALL.len() as u16;
+pub const TOP: u16 = RANKS_PER_IMPORTANCE * Importance::ALL.len() as u16;
 /// How much higher nested work stands within its importance: its root has
 /// already been worked for, and levels of two hops differ a little in time.
-const NESTED: u16 = BAND / 8;
+const NESTED: u16 = RANKS_PER_IMPORTANCE / 8;
 
 /// A request's place in the order of shedding; the lowest is shed first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,13 +38,13 @@
     pub fn of(context: &Context, nested_first: bool) -> Self {
         let nested = nested_first && context.depth > 0;
         let bonus = if nested { NESTED } else { 0 };
-        Self::new(context.importance, Self::within(context.root), bonus)
+        Self::new(context.importance, Self::root_offset(context.root), bonus)
     }
 
     /// The place of a root among those of its importance; the lowest is shed
     /// first.
-    pub fn within(root: id::Root) -> u16 {
-        (xxh3_64(&root.0.to_le_bytes()) % u64::from(BAND)) as u16
+    pub fn root_offset(root: id::Root) -> u16 {
+        (xxh3_64(&root.0.to_le_bytes()) % u64::from(RANKS_PER_IMPORTANCE)) as u16
     }
 
     /// A rank by chance, for comparison with [`Rank::of`].
@@ -58,7 +58,7 @@
     }
 
     fn new(importance: Importance, place: u16, bonus: u16) -> Self {
-        let within = (place + bonus).min(BAND - 1);
-        Self(importance as u16 * BAND + within)
+        let within = (place + bonus).min(RANKS_PER_IMPORTANCE - 1);
+        Self(importance as u16 * RANKS_PER_IMPORTANCE + within)
     }
 }
--- a/src/request/admission/level.rs
+++ b/src/request/admission/level.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    BAND,
+    RANKS_PER_IMPORTANCE,
     TOP, //
 };
 use crate::{
@@ -56,13 +56,13 @@
 
 /// What the level follows.
 #[derive(Clone, Copy, Debug)]
-pub struct State {
+pub struct Measurement {
     /// How long a request that came last would wait.
-    pub delay: Span,
+    pub queue_delay: Span,
     /// The share of slots in use.
-    pub used: f64,
+    pub utilization: f64,
     /// Requests that the slots can serve in one second.
-    pub rate: f64,
+    pub service_rate: f64,
 }
 
 /// Moves the level and divides it among the teams.
@@ -76,7 +76,7 @@
 
 impl Controller {
     /// A request was let pass.
-    pub fn passed(&mut self, importance: Importance, team: &Team, weight: u32) {
+    pub fn record_admitted(&mut self, importance: Importance, team: &Team, weight: u32) {
         let key = (importance, team.clone());
         let demand = self.demand.entry(key).or_default();
         demand.arrived += 1.0;
@@ -86,7 +86,7 @@
     /// The level that holds for a team.
     pub fn level(&self, team: &Team, fair: bool) -> u16 {
         let band = self.height.floor();
-        let base = band as u16 * BAND;
+        let base = band as u16 * RANKS_PER_IMPORTANCE;
         if base >= TOP {
             return TOP;
         }
@@ -95,28 +95,28 @@
             Some(demand) if fair => demand.cut,
             _ => self.height - band,
         };
-        base + (cut * f64::from(BAND)).round() as u16
+        base + (cut * f64::from(RANKS_PER_IMPORTANCE)).round() as u16
     }
 
     /// Moves the level, when an interval has passed, by the queue's delay and
     /// the share of slots in use.
-    pub fn tick(&mut self, now: Time, state: State, target: Span) {
+    pub fn tick(&mut self, now: Time, measurement: Measurement, target: Span) {
         if now < self.next {
             return;
         }
         self.next = now + INTERVAL;
         let target = target.as_ms().max(1) as f64;
-        let delay = state.delay.as_ms() as f64 / target;
+        let delay = measurement.queue_delay.as_ms() as f64 / target;
         let grown = (delay - self.delay).clamp(-CLIP, CLIP);
         self.delay = delay;
         let step = if delay > 1.0 {
             CLIMB * (delay - 1.0).min(CLIP) + LEAD * grown
         } else {
-            -(FALL + FREE * (1.0 - state.used).max(0.0)) * (1.0 - delay)
+            -(FALL + FREE * (1.0 - measurement.utilization).max(0.0)) * (1.0 - delay)
         };
         let top = Importance::ALL.len() as f64;
-        let gain = self.gain(state.rate * INTERVAL.as_secs_f64());
-        let free = (1.0 - state.used).max(0.0);
+        let gain = self.gain(measurement.service_rate * INTERVAL.as_secs_f64());
+        let free = (1.0 - measurement.utilization).max(0.0);
         let step = step * (gain + (1.0 - gain) * free);
         self.skip(step);
         self.height = (self.height + step).clamp(0.0, top);
@@ -160,7 +160,7 @@
     }
 
     /// How many importances are shed, and which part of the next.
-    pub fn height(&self) -> f64 {
+    pub fn shed_importances(&self) -> f64 {
         self.height
     }
 
--- a/src/request/admission/queue.rs
+++ b/src/request/admission/queue.rs
@@ -37,9 +37,9 @@
     /// The team's weight.
     pub weight: u32,
     /// Its turn within its team; the lowest is served first.
-    pub turn: u64,
+    pub order_key: u64,
     /// Whether that turn goes by the rank of its root and not by its age.
-    pub ranked: bool,
+    pub by_rank: bool,
 }
 
 /// A lane's place; the least is served first.
@@ -57,13 +57,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
     /// By importance; else all alike.
-    pub importance: bool,
+    pub by_importance: bool,
     /// Nested work first.
-    pub nested: bool,
+    pub nested_first: bool,
     /// By the teams' shares; else all alike.
     pub fair: bool,
     /// The least important band newest first.
-    pub newest: bool,
+    pub newest_first: bool,
 }
 
 /// All waiting requests.
@@ -110,11 +110,11 @@
     pub fn push(&mut self, item: Item, order: Order) {
         let place = order.place(&item);
         let share = order.share(&item);
-        let spot = (place, share.clone(), item.turn);
+        let spot = (place, share.clone(), item.order_key);
         self.places.insert(item.request, spot);
         let lane = self.lanes.entry(place).or_default();
         let waiting = lane.teams.entry(share).or_default();
-        waiting.insert((item.turn, item.request), item);
+        waiting.insert((item.order_key, item.request), item);
     }
 
     /// Takes one out, wherever it stands.
@@ -136,14 +136,14 @@
     pub fn pop(&mut self, order: Order, overloaded: bool) -> Option<Item> {
         let (place, lane) = self.lanes.first_key_value()?;
         let least = self.lanes.last_key_value().map(|(last, _)| last.0);
-        let newest = order.newest && overloaded && least == Some(place.0);
+        let newest = order.newest_first && overloaded && least == Some(place.0);
         let served = |share: &Share| self.shares.of(share);
         let (_, waiting) = lane
             .teams
             .iter()
             .min_by(|(a, _), (b, _)| served(a).total_cmp(&served(b)))?;
         let (first, last) = (waiting.first_key_value()?, waiting.last_key_value()?);
-        let ((_, request), _) = match newest && !last.1.ranked {
+        let ((_, request), _) = match newest && !last.1.by_rank {
             true => last,
             false => first,
         };
@@ -182,11 +182,11 @@
     /// Requests of the lane that are served before this one: those with a lower
     /// rank are not, all others may be.
     fn ahead(&self, item: &Item) -> usize {
-        if !item.ranked {
+        if !item.by_rank {
             return self.len();
         }
         let teams = self.teams.values();
-        let before = teams.map(|waiting| waiting.range(..=(item.turn, item.request)).count());
+        let before = teams.map(|waiting| waiting.range(..=(item.order_key, item.request)).count());
         before.sum()
     }
 
@@ -215,11 +215,11 @@
 
 impl Order {
     fn place(self, item: &Item) -> Place {
-        let importance = match self.importance {
+        let importance = match self.by_importance {
             true => item.importance,
             false => Importance::default(),
         };
-        (Reverse(importance), self.nested && !item.nested)
+        (Reverse(importance), self.nested_first && !item.nested)
     }
 
     fn share(self, item: &Item) -> Share {
--- a/src/request/admission/seen.rs
+++ b/src/request/admission/seen.rs
@@ -48,7 +48,7 @@
 
 impl Levels {
     /// An inbound proxy told its level.
-    pub fn note(&mut self, now: Time, peer: &Instance, route: &Route, team: &Team, level: u16) {
+    pub fn observe(&mut self, now: Time, peer: &Instance, route: &Route, team: &Team, level: u16) {
         let level = f64::from(level);
         let teams = self.seen.entry(route.clone()).or_default();
         let peers = teams.entry(team.clone()).or_default();
@@ -94,7 +94,7 @@
     }
 
     /// A request of a route ended, having made these nested calls.
-    pub fn learn(&mut self, route: &Route, nested: &[Route]) {
+    pub fn record_calls(&mut self, route: &Route, nested: &[Route]) {
         if nested.is_empty() && !self.calls.contains_key(route) {
             return;
         }
@@ -110,14 +110,14 @@
     }
 
     /// The share of a route's requests that call another one.
-    pub fn share(&self, route: &Route, called: &Route) -> f64 {
+    pub fn call_share(&self, route: &Route, called: &Route) -> f64 {
         let habits = self.calls.get(route);
         let share = habits.and_then(|habits| habits.get(called));
         share.copied().unwrap_or(0.0)
     }
 
     /// The highest level among the routes that this one calls.
-    pub fn below(&self, now: Time, route: &Route, team: &Team) -> u16 {
+    pub fn downstream_level(&self, now: Time, route: &Route, team: &Team) -> u16 {
         let habits = self.calls.get(route).into_iter().flatten();
         habits
             .filter(|(_, share)| **share >= OFTEN)
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -283,7 +283,7 @@
             running: self.running.len(),
             limit: self.slots(now),
             waiting: self.waiting.len(),
-            level: self.controller.height(),
+            level: self.controller.shed_importances(),
             cold: self.pace.meter.is_cold(),
             named: self.pace.throttle.limit(),
         }
@@ -513,7 +513,7 @@
     ) -> u16 {
         let own = self.controller.level(team, policy.fair);
         match policy.below {
-            true => own.max(levels.below(now, route, team)),
+            true => own.max(levels.downstream_level(now, route, team)),
             false => own,
         }
     }
--- a/src/request/inbound/caller.rs
+++ b/src/request/inbound/caller.rs
@@ -154,7 +154,7 @@
     /// they begin.
     fn by_start(&self, route: &id::Route, levels: &Levels) -> Option<id::Request> {
         let fits = |running: &Running| {
-            let known = levels.share(&running.route, route) >= MIN_CALL_SHARE;
+            let known = levels.call_share(&running.route, route) >= MIN_CALL_SHARE;
             (known, !running.has_called(route), running.begun())
         };
         let best = self.active().max_by_key(|(_, running)| fits(running));
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -235,7 +235,7 @@
                 if now <= running.deadline {
                     self.site.took(now, &running.route, took);
                 }
-                world.levels.learn(&running.route, &running.called);
+                world.levels.record_calls(&running.route, &running.called);
             }
             End::Refused => {
                 self.limit.refused();
--- a/src/request/inbound/waiting.rs
+++ b/src/request/inbound/waiting.rs
@@ -9,8 +9,8 @@
 };
 use crate::{
     admission::{
-        BAND, Rank,
-        level::State,
+        RANKS_PER_IMPORTANCE, Rank,
+        level::Measurement,
         queue::{
             Item,
             Order, //
@@ -164,7 +164,7 @@
             return Err(Code::Shed);
         }
         self.controller
-            .passed(context.importance, team, item.weight);
+            .record_admitted(context.importance, team, item.weight);
         let ahead = self.queue.ahead(item, order(world.policy));
         if let Some(code) = self.pace.refusal(now, ahead, now.until(waiting.expires)) {
             return Err(code);
@@ -271,16 +271,16 @@
         if world.policy.admission != Admission::Level {
             return;
         }
-        let delay = match self.queue.is_empty() {
+        let queue_delay = match self.queue.is_empty() {
             true => Span::ZERO,
             false => self.delay(now),
         };
-        let state = State {
-            delay,
-            used: self.used(now),
-            rate: 1000.0 / self.gap(now).max(MIN_GAP),
+        let measurement = Measurement {
+            queue_delay,
+            utilization: self.used(now),
+            service_rate: 1000.0 / self.gap(now).max(MIN_GAP),
         };
-        self.controller.tick(now, state, self.target(now));
+        self.controller.tick(now, measurement, self.target(now));
     }
 
     fn target(&self, now: Time) -> Span {
@@ -319,27 +319,27 @@
 fn item(request: id::Request, waiting: &Waiting, world: &World<'_>) -> Item {
     let context = &waiting.context;
     let team = world.snapshot.teams.team(&context.team);
-    let ranked = world.policy.attribution && context.depth > 0;
+    let by_rank = world.policy.attribution && context.depth > 0;
     Item {
         request,
         importance: context.importance,
         nested: context.depth > 0,
         team: context.team.clone(),
         weight: team.map_or(1, |team| team.weight.0),
-        turn: match ranked {
-            true => u64::from(BAND - Rank::within(context.root)),
+        order_key: match by_rank {
+            true => u64::from(RANKS_PER_IMPORTANCE - Rank::root_offset(context.root)),
             false => waiting.root.as_ms(),
         },
-        ranked,
+        by_rank,
     }
 }
 
 fn order(policy: Policy) -> Order {
     let level = policy.admission == Admission::Level;
     Order {
-        importance: level && policy.choice == Choice::Root,
-        nested: level && policy.nested_first,
+        by_importance: level && policy.choice == Choice::Root,
+        nested_first: level && policy.nested_first,
         fair: level && policy.fair,
-        newest: level && policy.newest_first,
+        newest_first: level && policy.newest_first,
     }
 }
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -194,7 +194,7 @@
                 true => world.levels.forget_peer(&call.route, peer),
                 false => world
                     .levels
-                    .note(now, peer, &call.route, team, report.level),
+                    .observe(now, peer, &call.route, team, report.level),
             }
         }
         Some(attempt.call)
--- a/tests/policy/attribution.rs
+++ b/tests/policy/attribution.rs
@@ -4,7 +4,7 @@
 
 use bluebellswitch::{
     admission::{
-        BAND, Rank,
+        RANKS_PER_IMPORTANCE, Rank,
         queue::{
             Item,
             Order,
@@ -194,10 +194,10 @@
 /// the requests whose calls all came back.
 fn whole(turn: impl Fn(id::Root, u64) -> (u64, bool)) -> usize {
     let order = Order {
-        importance: true,
-        nested: true,
+        by_importance: true,
+        nested_first: true,
         fair: true,
-        newest: true,
+        newest_first: true,
     };
     let mut queue = Queue::default();
     let mut waiting = BTreeMap::new();
@@ -234,7 +234,7 @@
                 incarnation: id::Incarnation(1),
                 sequence: id::Sequence(next),
             };
-            let (turn, ranked) = turn(root, now);
+            let (order_key, by_rank) = turn(root, now);
             queue.push(
                 Item {
                     request,
@@ -242,8 +242,8 @@
                     nested: true,
                     team: "services".parse().expect("a name"),
                     weight: 1,
-                    turn,
-                    ranked,
+                    order_key,
+                    by_rank,
                 },
                 order,
             );
@@ -260,7 +260,12 @@
 /// 107 by age.
 #[test]
 fn by_rank_whole_requests_are_served() {
-    let by_rank = whole(|root, _| (u64::from(BAND - Rank::within(root)), true));
+    let by_rank = whole(|root, _| {
+        (
+            u64::from(RANKS_PER_IMPORTANCE - Rank::root_offset(root)),
+            true,
+        )
+    });
     let by_age = whole(|_, now| (now, false));
     assert!(by_rank >= 400, "{by_rank} by rank");
     assert!(by_age <= 200, "{by_age} by age");
--- a/tests/policy/level.rs
+++ b/tests/policy/level.rs
@@ -2,10 +2,10 @@
 
 use bluebellswitch::{
     admission::{
-        BAND,
+        RANKS_PER_IMPORTANCE,
         level::{
             Controller,
-            State, //
+            Measurement, //
         },
     },
     clock::{
@@ -32,23 +32,25 @@
     for tick in 0..200 {
         let now = Time::from_ms(1000 + tick * 50);
         for name in &names {
-            level.passed(Importance::Normal, &team(name), 1);
+            level.record_admitted(Importance::Normal, &team(name), 1);
         }
         for _ in 0..24 {
-            level.passed(Importance::Normal, &Team::services(), 1);
+            level.record_admitted(Importance::Normal, &Team::services(), 1);
         }
         // The delay is too long until a third of the band is shed.
-        let shed = (level.height() - 1.0).max(0.0);
-        let delay = Span::from_ms(if shed < 0.33 { 60 } else { 20 });
-        let state = State {
-            delay,
-            used: 1.0,
-            rate: 400.0,
+        let shed = (level.shed_importances() - 1.0).max(0.0);
+        let queue_delay = Span::from_ms(if shed < 0.33 { 60 } else { 20 });
+        let measurement = Measurement {
+            queue_delay,
+            utilization: 1.0,
+            service_rate: 400.0,
         };
-        level.tick(now, state, target);
+        level.tick(now, measurement, target);
     }
-    let shed = level.height() - 1.0;
-    let of = |team: &Team| f64::from(level.level(team, true) - BAND) / f64::from(BAND);
+    let shed = level.shed_importances() - 1.0;
+    let of = |team: &Team| {
+        f64::from(level.level(team, true) - RANKS_PER_IMPORTANCE) / f64::from(RANKS_PER_IMPORTANCE)
+    };
     assert!((0.2..0.6).contains(&shed), "{shed}");
     assert!((of(&Team::services()) - shed).abs() < 0.01);
     for name in &names {
@@ -59,19 +61,19 @@
 
 /// Ticks of a controller whose requests are of two importances, with nothing
 /// between and below them.
-fn ticks(level: &mut Controller, first: u64, count: u64, delay: Span, used: f64) {
+fn ticks(level: &mut Controller, first: u64, count: u64, queue_delay: Span, utilization: f64) {
     for tick in first..first + count {
         for _ in 0..10 {
-            level.passed(Importance::Normal, &team("mill"), 1);
-            level.passed(Importance::Critical, &team("mill"), 1);
+            level.record_admitted(Importance::Normal, &team("mill"), 1);
+            level.record_admitted(Importance::Critical, &team("mill"), 1);
         }
-        let state = State {
-            delay,
-            used,
-            rate: 400.0,
+        let measurement = Measurement {
+            queue_delay,
+            utilization,
+            service_rate: 400.0,
         };
         let now = Time::from_ms(1000 + tick * 50);
-        level.tick(now, state, Span::from_ms(20));
+        level.tick(now, measurement, Span::from_ms(20));
     }
 }
 
@@ -82,7 +84,11 @@
 fn shedding_begins_with_the_least_that_is_asked_for() {
     let mut level = Controller::default();
     ticks(&mut level, 0, 10, Span::from_ms(30), 1.0);
-    assert!(level.height() > 1.02, "{}", level.height());
+    assert!(
+        level.shed_importances() > 1.02,
+        "{}",
+        level.shed_importances()
+    );
 }
 
 /// A crowd had pushed the level into an importance without requests. It ends, and
@@ -91,11 +97,15 @@
 fn what_nobody_asks_for_does_not_hold_the_level_up() {
     let mut level = Controller::default();
     let mut tick = 0;
-    while level.height() < 2.6 {
+    while level.shed_importances() < 2.6 {
         ticks(&mut level, tick, 1, Span::from_ms(60), 1.0);
         tick += 1;
-        assert!(tick < 1000, "{}", level.height());
+        assert!(tick < 1000, "{}", level.shed_importances());
     }
     ticks(&mut level, tick, 2, Span::ZERO, 0.5);
-    assert!(level.height() < 2.0, "{}", level.height());
+    assert!(
+        level.shed_importances() < 2.0,
+        "{}",
+        level.shed_importances()
+    );
 }
