--- a/src/request/admission/queue.rs
+++ b/src/request/admission/queue.rs
@@ -1,14 +1,14 @@
-//! Requests that wait for a slot.
+//! The queue of admitted requests that wait for a slot.
 //!
-//! The queue is short. It is served by importance, nested work before new
-//! roots, then the team that has had least for its weight, then the oldest
-//! root. Where roots are only believed to be known, their nested work goes by
-//! the rank of its root, so that all calls of one root find their place alike:
-//! of four calls one after the other the last is of no use when the third one
-//! was shed. The least important band is served newest first under overload: its
-//! oldest would be refused soon anyway. When there is no room, the last to be
-//! served among the least important makes room, from the team that waits with
-//! most.
+//! The queue is short. Requests are ordered by importance, then nested calls
+//! before new roots, then the team that was served least for its weight, then
+//! the oldest root. Where the roots of nested calls are only inferred, the calls
+//! are ordered by the rank of their root instead, so that all calls of one root
+//! get about the same position: of four sequential calls the last is useless
+//! when the third was shed. Under overload the least important requests are
+//! served newest first, because the oldest ones would soon time out anyway. When
+//! the queue is full, the last of the least important requests is evicted, from
+//! the team with the most requests in the queue.
 
 use std::{
     cmp::Reverse,
@@ -26,118 +26,120 @@
 /// One waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Which.
+    /// Its id.
     pub request: Request,
-    /// How much its root matters.
+    /// The importance of its root.
     pub importance: Importance,
-    /// Whether its root already runs elsewhere.
+    /// Whether it is a nested call, so that its root already runs elsewhere.
     pub nested: bool,
-    /// Whose it is.
+    /// The team that is charged for it.
     pub team: Team,
     /// The team's weight.
     pub weight: u32,
-    /// Its turn within its team; the lowest is served first.
+    /// Its position within its team; the lowest is served first.
     pub order_key: u64,
-    /// Whether that turn goes by the rank of its root and not by its age.
+    /// Whether `order_key` is made from the rank of the root, not from its age.
     pub by_rank: bool,
 }
 
-/// A lane's place; the least is served first.
-type Place = (Reverse<Importance>, bool);
+/// Importance, and whether the request is a new root that nested calls precede;
+/// the lowest key is served first.
+type LaneKey = (Reverse<Importance>, bool);
 
-/// Whose share a request counts for; nobody's while all teams are alike.
-type Share = Option<Team>;
+/// The team that a request is accounted to; none while all teams are alike.
+type TeamKey = Option<Team>;
 
 #[derive(Clone, Debug, Default)]
 struct Lane {
-    teams: BTreeMap<Share, BTreeMap<(u64, Request), Item>>,
+    teams: BTreeMap<TeamKey, BTreeMap<(u64, Request), Item>>,
 }
 
-/// How a queue is ordered.
+/// Which ordering rules are in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// By importance; else all alike.
+    /// The more important first.
     pub by_importance: bool,
-    /// Nested work first.
+    /// Nested calls before new roots.
     pub nested_first: bool,
-    /// By the teams' shares; else all alike.
+    /// The team that was served least for its weight first.
     pub fair: bool,
-    /// The least important band newest first.
+    /// Under overload the least important newest first.
     pub newest_first: bool,
 }
 
 /// All waiting requests.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    lanes: BTreeMap<Place, Lane>,
-    places: BTreeMap<Request, (Place, Share, u64)>,
-    shares: Shares,
+    lanes: BTreeMap<LaneKey, Lane>,
+    positions: BTreeMap<Request, (LaneKey, TeamKey, u64)>,
+    served: ServedByTeam,
 }
 
-/// What each team has been served, for its weight.
+/// Requests started for each team, divided by its weight.
 #[derive(Clone, Debug, Default)]
-struct Shares {
+struct ServedByTeam {
     served: BTreeMap<Team, f64>,
+    /// The count of every team that is not in the map.
     floor: f64,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Whether this request waits.
+    /// Whether this request is in the queue.
     pub fn contains(&self, request: Request) -> bool {
-        self.places.contains_key(&request)
+        self.positions.contains_key(&request)
     }
 
-    /// Requests that would be served before this one.
+    /// The number of requests that would be served before this one.
     pub fn ahead(&self, item: &Item, order: Order) -> usize {
-        let place = order.place(item);
-        let before = self.lanes.range(..place);
+        let key = order.lane_key(item);
+        let before = self.lanes.range(..key);
         let before: usize = before.map(|(_, lane)| lane.len()).sum();
-        let beside = self.lanes.get(&place);
-        before + beside.map_or(0, |lane| lane.ahead(item))
+        let lane = self.lanes.get(&key);
+        before + lane.map_or(0, |lane| lane.ahead(item))
     }
 
-    /// Adds one.
+    /// Adds a request.
     pub fn push(&mut self, item: Item, order: Order) {
-        let place = order.place(&item);
-        let share = order.share(&item);
-        let spot = (place, share.clone(), item.order_key);
-        self.places.insert(item.request, spot);
-        let lane = self.lanes.entry(place).or_default();
-        let waiting = lane.teams.entry(share).or_default();
+        let lane_key = order.lane_key(&item);
+        let team_key = order.team_key(&item);
+        let position = (lane_key, team_key.clone(), item.order_key);
+        self.positions.insert(item.request, position);
+        let lane = self.lanes.entry(lane_key).or_default();
+        let waiting = lane.teams.entry(team_key).or_default();
         waiting.insert((item.order_key, item.request), item);
     }
 
-    /// Takes one out, wherever it stands.
+    /// Removes a request from any position.
     pub fn remove(&mut self, request: Request) -> Option<Item> {
-        let (place, team, turn) = self.places.remove(&request)?;
-        let lane = self.lanes.get_mut(&place)?;
-        let waiting = lane.teams.get_mut(&team)?;
-        let item = waiting.remove(&(turn, request));
+        let (lane_key, team_key, order_key) = self.positions.remove(&request)?;
+        let lane = self.lanes.get_mut(&lane_key)?;
+        let waiting = lane.teams.get_mut(&team_key)?;
+        let item = waiting.remove(&(order_key, request));
         if waiting.is_empty() {
-            lane.teams.remove(&team);
+            lane.teams.remove(&team_key);
         }
         if lane.teams.is_empty() {
-            self.lanes.remove(&place);
+            self.lanes.remove(&lane_key);
         }
         item
     }
 
-    /// Takes out the one to be served next.
+    /// Removes the request that is served next.
     pub fn pop(&mut self, order: Order, overloaded: bool) -> Option<Item> {
-        let (place, lane) = self.lanes.first_key_value()?;
-        let least = self.lanes.last_key_value().map(|(last, _)| last.0);
-        let newest = order.newest_first && overloaded && least == Some(place.0);
-        let served = |share: &Share| self.shares.of(share);
+        let (lane_key, lane) = self.lanes.first_key_value()?;
+        let least_important = self.lanes.last_key_value().map(|(last, _)| last.0);
+        let newest = order.newest_first && overloaded && least_important == Some(lane_key.0);
+        let served = |team_key: &TeamKey| self.served.get(team_key);
         let (_, waiting) = lane
             .teams
             .iter()
@@ -151,36 +153,40 @@
         self.remove(request)
     }
 
-    /// Counts a start for its team, also of a request that did not wait.
-    pub fn count(&mut self, team: &Team, weight: u32) {
-        self.shares.count(team, weight);
+    /// Records a start for a team, also of a request that did not wait.
+    pub fn record_start(&mut self, team: &Team, weight: u32) {
+        self.served.record_start(team, weight);
     }
 
-    /// Takes out the one that must go to make room for `item`, or nothing when
-    /// `item` itself comes last.
+    /// Removes the request that must make room for `item`; none when `item`
+    /// itself would be last.
     pub fn evict(&mut self, item: &Item, order: Order) -> Option<Item> {
-        let place = order.place(item);
+        let key = order.lane_key(item);
         let (last, lane) = self.lanes.last_key_value()?;
         let (team, waiting) = lane.teams.iter().max_by_key(|(_, waiting)| waiting.len())?;
-        let mine = lane.teams.get(&order.share(item)).map_or(0, BTreeMap::len);
-        let greedier = order.fair && waiting.len() > mine + 1 && *team != order.share(item);
-        let yields = *last > place || (*last == place && greedier);
-        if !yields {
+        let own = lane
+            .teams
+            .get(&order.team_key(item))
+            .map_or(0, BTreeMap::len);
+        let has_more = order.fair && waiting.len() > own + 1 && *team != order.team_key(item);
+        let is_evictable = *last > key || (*last == key && has_more);
+        if !is_evictable {
             return None;
         }
         let request = waiting.last_key_value().map(|((_, request), _)| *request)?;
         self.remove(request)
     }
 
-    /// Every waiting request.
+    /// All waiting requests, by id.
     pub fn iter(&self) -> impl Iterator<Item = Request> + '_ {
-        self.places.keys().copied()
+        self.positions.keys().copied()
     }
 }
 
 impl Lane {
-    /// Requests of the lane that are served before this one: those with a lower
-    /// rank are not, all others may be.
+    /// Upper bound on the requests of the lane that are served before this one.
+    /// If it is ordered by rank, only those with a smaller or equal key count;
+    /// otherwise all of them.
     fn ahead(&self, item: &Item) -> usize {
         if !item.by_rank {
             return self.len();
@@ -195,26 +201,27 @@
     }
 }
 
-impl Shares {
-    fn of(&self, share: &Share) -> f64 {
-        let served = share.as_ref().and_then(|team| self.served.get(team));
+impl ServedByTeam {
+    fn get(&self, team_key: &TeamKey) -> f64 {
+        let served = team_key.as_ref().and_then(|team| self.served.get(team));
         served.copied().unwrap_or(self.floor)
     }
 
-    /// A team that comes back begins where the others are: what it did not use
-    /// in the past gives no claim to all slots now.
-    fn count(&mut self, team: &Team, weight: u32) {
+    /// Adds a start. A team without recent starts begins at the floor, at most
+    /// 32 starts behind the team that was served most: capacity that it did not
+    /// use before gives it no claim to all slots now.
+    fn record_start(&mut self, team: &Team, weight: u32) {
         let entry = self.served.entry(team.clone()).or_insert(self.floor);
         *entry = entry.max(self.floor) + 1.0 / f64::from(weight.max(1));
-        let most = self.served.values().copied().fold(0.0, f64::max);
-        self.floor = self.floor.max(most - 32.0);
+        let max = self.served.values().copied().fold(0.0, f64::max);
+        self.floor = self.floor.max(max - 32.0);
         let floor = self.floor;
         self.served.retain(|_, served| *served > floor);
     }
 }
 
 impl Order {
-    fn place(self, item: &Item) -> Place {
+    fn lane_key(self, item: &Item) -> LaneKey {
         let importance = match self.by_importance {
             true => item.importance,
             false => Importance::default(),
@@ -222,7 +229,7 @@
         (Reverse(importance), self.nested_first && !item.nested)
     }
 
-    fn share(self, item: &Item) -> Share {
+    fn team_key(self, item: &Item) -> TeamKey {
         self.fair.then(|| item.team.clone())
     }
 }
--- a/src/request/admission/seen.rs
+++ b/src/request/admission/seen.rs
@@ -1,10 +1,10 @@
-//! What a node has seen of the levels at other nodes.
+//! The levels that other nodes have reported to this one.
 //!
-//! Every answer tells the level that held for its route and team. Ingress
-//! refuses by it before anything is sent, and an inbound proxy holds new
-//! requests to the levels of the routes that such requests call: work that a
-//! deeper hop would shed is not begun. What was seen fades, so that a level
-//! nobody confirms lets requests pass again.
+//! Every answer carries the level that held for its route and team. Ingress
+//! rejects by it before anything is sent, and an inbound proxy applies to a new
+//! request the levels of the routes that such requests call: work that a later
+//! hop would shed is not started. A reported level fades, so that a level that
+//! is not confirmed lets requests pass again.
 
 use std::collections::BTreeMap;
 
@@ -20,58 +20,62 @@
     },
 };
 
-/// How long a level holds unconfirmed, and over how long it then fades.
-const HOLD: Span = Span::from_ms(500);
-const FADE: Span = Span::from_ms(1000);
-/// How long a word outweighs a newer one.
-const MEMORY: Span = Span::from_ms(100);
-/// Nested calls for each request at which a route counts as called by another.
-const OFTEN: f64 = 0.3;
-/// The weight of the newest request in how often it calls.
-const HABIT: f64 = 0.02;
-/// Routes, teams and instances that are remembered; the longest unconfirmed goes first.
-const ROOM: usize = 16_384;
+/// How long a level holds without confirmation, and over how long it then fades.
+const HOLD_TIME: Span = Span::from_ms(500);
+const FADE_TIME: Span = Span::from_ms(1000);
+/// Time constant of the average over the levels that an instance reports.
+const SMOOTHING_TIME: Span = Span::from_ms(100);
+/// Share of a route's requests that must call another route for it to count as
+/// downstream.
+const MIN_CALL_SHARE: f64 = 0.3;
+/// EWMA weight of the newest request in that share.
+const CALL_SHARE_EWMA_WEIGHT: f64 = 0.02;
+/// Maximum number of levels that are kept, over all routes, teams and
+/// instances. Above it those that have faded are dropped, and if that is not
+/// enough, all are.
+const MAX_LEVELS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
-struct Stamp {
+struct Observation {
     level: f64,
     at: Time,
 }
 
-/// Levels by route and team, and which routes call which.
+/// Levels by route, team and instance, and which routes call which.
 #[derive(Clone, Debug, Default)]
 pub struct Levels {
-    seen: BTreeMap<Route, BTreeMap<Team, BTreeMap<Instance, Stamp>>>,
+    observed: BTreeMap<Route, BTreeMap<Team, BTreeMap<Instance, Observation>>>,
     len: usize,
-    calls: BTreeMap<Route, BTreeMap<Route, f64>>,
+    /// For each route, the share of its requests that call another route.
+    call_shares: BTreeMap<Route, BTreeMap<Route, f64>>,
 }
 
 impl Levels {
-    /// An inbound proxy told its level.
+    /// Records the level that an inbound proxy reported.
     pub fn observe(&mut self, now: Time, peer: &Instance, route: &Route, team: &Team, level: u16) {
         let level = f64::from(level);
-        let teams = self.seen.entry(route.clone()).or_default();
+        let teams = self.observed.entry(route.clone()).or_default();
         let peers = teams.entry(team.clone()).or_default();
         self.len += usize::from(!peers.contains_key(peer));
-        let stamp = peers
+        let observation = peers
             .entry(peer.clone())
-            .or_insert(Stamp { level, at: now });
-        let gap = now.since(stamp.at);
-        let fresh = match gap <= HOLD {
-            true => (gap.as_ms() + 1) as f64 / (gap + MEMORY).as_ms() as f64,
+            .or_insert(Observation { level, at: now });
+        let gap = now.since(observation.at);
+        let weight = match gap <= HOLD_TIME {
+            true => (gap.as_ms() + 1) as f64 / (gap + SMOOTHING_TIME).as_ms() as f64,
             false => 1.0,
         };
-        stamp.level += (level - stamp.level) * fresh;
-        stamp.at = now;
-        if self.len > ROOM {
-            self.forget(now);
+        observation.level += (level - observation.level) * weight;
+        observation.at = now;
+        if self.len > MAX_LEVELS {
+            self.drop_faded(now);
         }
     }
 
-    /// Forgets what an instance told of a route.
+    /// Drops the levels that an instance reported for a route.
     pub fn forget_peer(&mut self, route: &Route, peer: &Instance) {
         for peers in self
-            .seen
+            .observed
             .get_mut(route)
             .into_iter()
             .flat_map(BTreeMap::values_mut)
@@ -80,47 +84,48 @@
         }
     }
 
-    /// The level now believed to hold: the median of the instances heard of, so
-    /// that one slow instance does not shed what the others would take.
+    /// The level assumed for a route and team: the median over the instances
+    /// that reported one, so that a single slow instance does not shed what the
+    /// others would accept.
     pub fn level(&self, now: Time, route: &Route, team: &Team) -> u16 {
-        let Some(peers) = self.seen.get(route).and_then(|teams| teams.get(team)) else {
+        let Some(peers) = self.observed.get(route).and_then(|teams| teams.get(team)) else {
             return 0;
         };
-        let known = peers.values().filter(|stamp| stamp.is_known(now));
-        let mut levels: Vec<u16> = known.map(|stamp| stamp.faded(now) as u16).collect();
+        let current = peers.values().filter(|reported| reported.is_current(now));
+        let mut levels: Vec<u16> = current.map(|reported| reported.faded(now) as u16).collect();
         levels.sort_unstable();
         let median = levels.len().saturating_sub(1) / 2;
         levels.get(median).copied().unwrap_or(0)
     }
 
-    /// A request of a route ended, having made these nested calls.
+    /// Records the routes that a completed request of `route` called.
     pub fn record_calls(&mut self, route: &Route, nested: &[Route]) {
-        if nested.is_empty() && !self.calls.contains_key(route) {
+        if nested.is_empty() && !self.call_shares.contains_key(route) {
             return;
         }
-        let habits = self.calls.entry(route.clone()).or_default();
+        let shares = self.call_shares.entry(route.clone()).or_default();
         for called in nested {
-            habits.entry(called.clone()).or_insert(1.0);
+            shares.entry(called.clone()).or_insert(1.0);
         }
-        for (called, share) in habits.iter_mut() {
-            let hit = f64::from(u8::from(nested.contains(called)));
-            *share += (hit - *share) * HABIT;
+        for (called, share) in shares.iter_mut() {
+            let sample = f64::from(u8::from(nested.contains(called)));
+            *share += (sample - *share) * CALL_SHARE_EWMA_WEIGHT;
         }
-        habits.retain(|_, share| *share > HABIT / 2.0);
+        shares.retain(|_, share| *share > CALL_SHARE_EWMA_WEIGHT / 2.0);
     }
 
-    /// The share of a route's requests that call another one.
+    /// The share of a route's requests that call another route.
     pub fn call_share(&self, route: &Route, called: &Route) -> f64 {
-        let habits = self.calls.get(route);
-        let share = habits.and_then(|habits| habits.get(called));
+        let shares = self.call_shares.get(route);
+        let share = shares.and_then(|shares| shares.get(called));
         share.copied().unwrap_or(0.0)
     }
 
     /// The highest level among the routes that this one calls.
     pub fn downstream_level(&self, now: Time, route: &Route, team: &Team) -> u16 {
-        let habits = self.calls.get(route).into_iter().flatten();
-        habits
-            .filter(|(_, share)| **share >= OFTEN)
+        let shares = self.call_shares.get(route).into_iter().flatten();
+        shares
+            .filter(|(_, share)| **share >= MIN_CALL_SHARE)
             .map(|(called, _)| {
                 let services = self.level(now, called, &Team::services());
                 self.level(now, called, team).max(services)
@@ -129,31 +134,32 @@
             .unwrap_or(0)
     }
 
-    fn forget(&mut self, now: Time) {
-        for teams in self.seen.values_mut() {
+    fn drop_faded(&mut self, now: Time) {
+        for teams in self.observed.values_mut() {
             for peers in teams.values_mut() {
-                peers.retain(|_, stamp| stamp.is_known(now));
+                peers.retain(|_, reported| reported.is_current(now));
             }
             teams.retain(|_, peers| !peers.is_empty());
         }
-        self.seen.retain(|_, teams| !teams.is_empty());
-        let teams = self.seen.values().flat_map(BTreeMap::values);
+        self.observed.retain(|_, teams| !teams.is_empty());
+        let teams = self.observed.values().flat_map(BTreeMap::values);
         self.len = teams.map(BTreeMap::len).sum();
-        if self.len > ROOM {
-            self.seen.clear();
+        if self.len > MAX_LEVELS {
+            self.observed.clear();
             self.len = 0;
         }
     }
 }
 
-impl Stamp {
-    fn is_known(&self, now: Time) -> bool {
-        now.since(self.at) <= HOLD + FADE
+impl Observation {
+    /// Whether the level has not faded entirely.
+    fn is_current(&self, now: Time) -> bool {
+        now.since(self.at) <= HOLD_TIME + FADE_TIME
     }
 
     fn faded(&self, now: Time) -> f64 {
-        let over = now.since(self.at + HOLD).as_ms() as f64;
-        let left = 1.0 - over / FADE.as_ms() as f64;
+        let fading = now.since(self.at + HOLD_TIME).as_ms() as f64;
+        let left = 1.0 - fading / FADE_TIME.as_ms() as f64;
         self.level * left.max(0.0)
     }
 }
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -123,7 +123,7 @@
         let token = id::Token(world.rng.random());
         let weight = world.snapshot.teams.team(&waiting.context.team);
         let weight = weight.map_or(1, |team| team.weight.0);
-        self.queue.count(&waiting.context.team, weight);
+        self.queue.record_start(&waiting.context.team, weight);
         self.site.started(now);
         let kind = match waiting.context.depth {
             0 => Kind::Root,
