--- a/src/request/allowance.rs
+++ b/src/request/allowance.rs
@@ -14,67 +14,67 @@
 
 /// What one attempt, or one root, has left for retries below it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Purse {
+pub struct Allowance {
     granted: u8,
-    left: u8,
+    remaining: u8,
     /// A call below has failed for good: nobody above tries again.
-    pub final_word: bool,
+    pub no_retry: bool,
 }
 
 /// The purses of all running attempts.
-pub type Purses = BTreeMap<id::Request, Purse>;
+pub type Allowances = BTreeMap<id::Request, Allowance>;
 
-impl Purse {
+impl Allowance {
     /// A purse with this much in it.
     pub fn new(granted: u8) -> Self {
         Self {
             granted,
-            left: granted,
-            final_word: false,
+            remaining: granted,
+            no_retry: false,
         }
     }
 
     /// Retries that may still be begun from here.
-    pub fn left(&self) -> u8 {
-        self.left
+    pub fn remaining(&self) -> u8 {
+        self.remaining
     }
 
     /// What was spent, counting open loans as spent.
     pub fn spent(&self) -> u8 {
-        self.granted - self.left
+        self.granted - self.remaining
     }
 
     /// Closes the purse when the attempt begins to answer: what is left returns
     /// with the answer and is not spent here any more. Loans that return later
     /// were counted as spent, and may be.
     pub fn close(&mut self) {
-        self.granted -= self.left;
-        self.left = 0;
+        self.granted -= self.remaining;
+        self.remaining = 0;
     }
 
     /// Takes one retry out, if there is one.
-    pub fn take(&mut self) -> bool {
-        let some = self.left > 0;
-        self.left -= u8::from(some);
-        some
+    pub fn try_take(&mut self) -> bool {
+        let available = self.remaining > 0;
+        self.remaining -= u8::from(available);
+        available
     }
 
     /// Lends to a call. One retry stays here when there are several, because a
     /// loan is lost with its answer; a single one goes down, because a retry
     /// next to the failure repeats the least work.
-    pub fn lend(&mut self) -> u8 {
-        let loan = match self.left {
-            0 | 1 => self.left,
+    pub fn reserve(&mut self) -> u8 {
+        let reserved = match self.remaining {
+            0 | 1 => self.remaining,
             more => more - 1,
         };
-        self.left -= loan;
-        loan
+        self.remaining -= reserved;
+        reserved
     }
 
     /// Takes back what a call did not spend of its loan. A peer that claims to
     /// have spent more than it got changes nothing.
-    pub fn settle(&mut self, loan: u8, spent: u8) {
-        let rest = loan.saturating_sub(spent);
-        self.left = self.left.saturating_add(rest).min(self.granted);
+    pub fn release(&mut self, reserved: u8, spent: u8) {
+        let unspent = reserved.saturating_sub(spent);
+        self.remaining = self.remaining.saturating_add(unspent).min(self.granted);
     }
 }
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -38,7 +38,7 @@
         queue::Queue,
         seen::Levels, //
     },
-    allowance::Purses,
+    allowance::Allowances,
     backpressure::{
         Hint,
         Limit as NamedLimit,
@@ -219,7 +219,7 @@
     running: BTreeMap<id::Request, Running>,
     deadlines: BTreeSet<(Time, id::Request)>,
     tokens: BTreeMap<id::Token, id::Request>,
-    purses: Purses,
+    purses: Allowances,
     waiting: BTreeMap<id::Request, Waiting>,
     queue: Queue,
     limit: Limit,
@@ -249,7 +249,7 @@
             running: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             tokens: BTreeMap::new(),
-            purses: Purses::new(),
+            purses: Allowances::new(),
             waiting: BTreeMap::new(),
             queue: Queue::default(),
             limit: Limit::default(),
@@ -323,7 +323,7 @@
     }
 
     /// The purses that nested calls borrow from.
-    pub fn purses(&mut self) -> &mut Purses {
+    pub fn purses(&mut self) -> &mut Allowances {
         &mut self.purses
     }
 
@@ -353,7 +353,7 @@
             level,
             service: usual.as_ms() as u32,
             spent: purse.spent(),
-            final_word: purse.final_word || self.failed.is_some_and(|at| now.since(at) <= BLAMED),
+            no_retry: purse.no_retry || self.failed.is_some_and(|at| now.since(at) <= BLAMED),
             ..self.state(now)
         }
     }
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -13,7 +13,7 @@
     waiting::Waiting, //
 };
 use crate::{
-    allowance::Purse,
+    allowance::Allowance,
     clock::Time,
     code::Code,
     context::Context,
@@ -138,7 +138,7 @@
         }
         self.pace.take(now);
         self.tokens.insert(token, request);
-        let purse = Purse::new(waiting.context.allowance);
+        let purse = Allowance::new(waiting.context.allowance);
         self.purses.insert(request, purse);
         self.deadlines.insert((waiting.deadline, request));
         let deadline = waiting.deadline;
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -14,7 +14,7 @@
 };
 use crate::{
     admission::Rank,
-    allowance::Purse,
+    allowance::Allowance,
     clock::{
         Span,
         Time, //
@@ -119,7 +119,7 @@
             retries: 0,
             rerouted: false,
             reroutes: 0,
-            purse: Purse::new(context.allowance),
+            purse: Allowance::new(context.allowance),
             grant: None,
             tainted: None,
             maker,
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -105,7 +105,7 @@
         };
         let loan = match world.policy.retries {
             Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.lend()),
+            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -180,12 +180,12 @@
         }
         self.repay(request, report.spent, world);
         if retry::failed(status) {
-            let mark = if report.final_word {
+            let mark = if report.no_retry {
                 Mark::Neither
             } else {
                 Mark::Ill
             };
-            let reason = self.reason(now, number, Failure::Failed, report.final_word, world);
+            let reason = self.reason(now, number, Failure::Failed, report.no_retry, world);
             if let Some(reason) = reason {
                 self.settle(now, request, report.spent, mark, world);
                 out.push(Action::Cancel(peer.clone(), request));
@@ -223,7 +223,7 @@
             // It ran to its end, but its answer was lost with the link.
             let failure = Failure::Unknown(Code::LinkLost);
             self.settle(now, request, report.spent, Mark::Well, world);
-            return self.failed(now, number, failure, report.final_word, world, out);
+            return self.failed(now, number, failure, report.no_retry, world, out);
         }
         let took = now.since(self.attempts[&request].sent).as_ms() as f64;
         let typical = self.typical.entry(call.route.clone()).or_insert(took);
@@ -267,7 +267,7 @@
             Verdict::NotRun => Failure::NotRun(code),
             Verdict::Unknown => Failure::Unknown(code),
         };
-        self.failed(now, number, failure, report.final_word, world, out);
+        self.failed(now, number, failure, report.no_retry, world, out);
     }
 
     /// The attempt has not left this node.
@@ -435,13 +435,13 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
         out: &mut Vec<Action>,
     ) {
         let delivering = |call: &Call| matches!(call.state, State::Delivering(_));
         let delivered = self.calls.get(&number).is_some_and(delivering);
-        if !delivered && let Some(reason) = self.reason(now, number, failure, final_word, world) {
+        if !delivered && let Some(reason) = self.reason(now, number, failure, no_retry, world) {
             return self.retry(now, number, failure, reason, world, out);
         }
         let code = match failure {
@@ -457,7 +457,7 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
     ) -> Option<Reason> {
         let call = self.calls.get_mut(&number)?;
@@ -499,7 +499,7 @@
             }
             Reason::Unknown | Reason::Failed => false,
         };
-        let allowed = fits && (free || self.affordable(now, number, failure, final_word, world));
+        let allowed = fits && (free || self.affordable(now, number, failure, no_retry, world));
         if !allowed {
             world.counts.add(Counter::Unretried(reason));
         }
@@ -512,7 +512,7 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -528,7 +528,7 @@
         let Some(purse) = call.purse(world.proxy.purses()) else {
             return false;
         };
-        let further = purse.left() > 0 && !final_word;
+        let further = purse.remaining() > 0 && !no_retry;
         if !further && !again {
             return false;
         }
@@ -536,7 +536,7 @@
             return false;
         }
         if further {
-            return purse.take();
+            return purse.try_take();
         }
         call.confined = true;
         true
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     allowance::{
-        Purse,
-        Purses, //
+        Allowance,
+        Allowances, //
     },
     balance::Mark,
     clock::{
@@ -85,7 +85,7 @@
     /// A leaving instance has already sent it elsewhere.
     pub rerouted: bool,
     /// What a root has for retries.
-    pub purse: Purse,
+    pub purse: Allowance,
     /// Instances that refused it before an upstream saw it, and from which it
     /// went on.
     pub reroutes: u8,
@@ -128,7 +128,7 @@
 impl Call {
     /// The purse that this call's retries come out of: its own for a root, that
     /// of the running attempt which made it for a nested call.
-    pub fn purse<'a>(&'a mut self, purses: &'a mut Purses) -> Option<&'a mut Purse> {
+    pub fn purse<'a>(&'a mut self, purses: &'a mut Allowances) -> Option<&'a mut Allowance> {
         match self.context.parent {
             Some(parent) => purses.get_mut(&parent),
             None => Some(&mut self.purse),
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -84,7 +84,7 @@
         if let Some(parent) = call.context.parent
             && let Some(purse) = world.proxy.purses().get_mut(&parent)
         {
-            purse.final_word = true;
+            purse.no_retry = true;
         }
     }
 
@@ -221,7 +221,7 @@
         let loan = std::mem::take(&mut attempt.loan);
         let call = self.calls.get_mut(&attempt.call);
         if let Some(purse) = call.and_then(|call| call.purse(world.proxy.purses())) {
-            purse.settle(loan, spent);
+            purse.release(loan, spent);
         }
     }
 
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -55,7 +55,8 @@
     /// Retries that the attempt and all below it have spent.
     pub spent: u8,
     /// A deeper hop has judged that nobody above should try again.
-    pub final_word: bool,
+    #[serde(rename = "final_word")]
+    pub no_retry: bool,
     /// The inbound proxy's clock, in milliseconds.
     pub clock: u64,
     /// The upstream is leaving.
--- a/tests/policy/allowance.rs
+++ b/tests/policy/allowance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bluebellswitch::{
-    allowance::Purse,
+    allowance::Allowance,
     policy::{
         Policy,
         Retries, //
@@ -57,7 +57,7 @@
     /// Runs one attempt with a loan, and returns what its answer says it spent;
     /// none when the answer is lost.
     fn attempt(&mut self, loan: u8, depth: u32) -> Option<u8> {
-        let mut purse = Purse::new(loan);
+        let mut purse = Allowance::new(loan);
         let mut open: BTreeMap<u32, (u8, Option<u8>)> = BTreeMap::new();
         if depth < 4 {
             for number in 0..self.rng.random_range(0..4) {
@@ -82,12 +82,12 @@
 
     fn call(
         &mut self,
-        purse: &mut Purse,
+        purse: &mut Allowance,
         depth: u32,
         number: u32,
         open: &mut BTreeMap<u32, (u8, Option<u8>)>,
     ) {
-        let loan = purse.lend();
+        let loan = purse.reserve();
         let spent = self.attempt(loan, depth + 1);
         open.insert(number, (loan, spent));
         while self.rng.random_bool(0.7) {
@@ -95,20 +95,20 @@
             if self.rng.random_bool(0.7) {
                 settle(purse, open.remove_entry(&number));
             }
-            if !purse.take() {
+            if !purse.try_take() {
                 return;
             }
             self.retries += 1;
-            let loan = purse.lend();
+            let loan = purse.reserve();
             let spent = self.attempt(loan, depth + 1);
             settle(purse, Some((number, (loan, spent))));
         }
     }
 }
 
-fn settle(purse: &mut Purse, answer: Option<(u32, (u8, Option<u8>))>) {
+fn settle(purse: &mut Allowance, answer: Option<(u32, (u8, Option<u8>))>) {
     if let Some((_, (loan, Some(spent)))) = answer {
-        purse.settle(loan, spent);
+        purse.release(loan, spent);
     }
 }
 
