--- a/src/request/allowance.rs
+++ b/src/request/allowance.rs
@@ -1,31 +1,31 @@
-//! The retries that one root may cause, counted across its whole tree.
+//! Retry limit shared by a root request and its whole call tree.
 //!
-//! Each running attempt has one [`Purse`] at the inbound proxy that runs it,
-//! and each root has one at its ingress. A retry takes one out. A call that is
-//! sent on carries a loan out of the purse, and its answer says how much of the
-//! loan was spent; the rest returns. A loan whose answer never comes does not
-//! return. What lies in all purses, is on loan and was spent together is always
-//! the root's allowance, so no tree retries more often, however it branches and
-//! whatever is lost.
+//! The inbound proxy keeps one [`Allowance`] for each running attempt, and the
+//! ingress keeps one for each root. A retry consumes one unit. A nested call
+//! reserves part of its parent's allowance; the response reports how much was
+//! spent, and the remainder is released. If the response is lost, the reservation
+//! is not released. The sum of remaining, reserved and spent retries always
+//! equals the root's allowance, so no call tree can exceed it, whatever its shape
+//! and whichever messages are lost.
 
 use std::collections::BTreeMap;
 
 use crate::id;
 
-/// What one attempt, or one root, has left for retries below it.
+/// Retries available to one attempt, or to one root, and the calls below it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
     granted: u8,
     remaining: u8,
-    /// A call below has failed for good: nobody above tries again.
+    /// Set when a nested call has failed permanently, so that no hop above retries.
     pub no_retry: bool,
 }
 
-/// The purses of all running attempts.
+/// Allowances of all running attempts.
 pub type Allowances = BTreeMap<id::Request, Allowance>;
 
 impl Allowance {
-    /// A purse with this much in it.
+    /// Creates an allowance of `granted` retries.
     pub fn new(granted: u8) -> Self {
         Self {
             granted,
@@ -34,34 +34,35 @@
         }
     }
 
-    /// Retries that may still be begun from here.
+    /// Returns the number of retries that can still be started or reserved.
     pub fn remaining(&self) -> u8 {
         self.remaining
     }
 
-    /// What was spent, counting open loans as spent.
+    /// Returns the number of retries spent, including open reservations.
     pub fn spent(&self) -> u8 {
         self.granted - self.remaining
     }
 
-    /// Closes the purse when the attempt begins to answer: what is left returns
-    /// with the answer and is not spent here any more. Loans that return later
-    /// were counted as spent, and may be.
+    /// Closes the allowance when the attempt starts to respond. The remaining
+    /// retries return to the caller with the response and can't be used here any
+    /// more. Open reservations were reported as spent, so they stay usable when
+    /// they are released later.
     pub fn close(&mut self) {
         self.granted -= self.remaining;
         self.remaining = 0;
     }
 
-    /// Takes one retry out, if there is one.
+    /// Consumes one retry. Returns false if none remains.
     pub fn try_take(&mut self) -> bool {
         let available = self.remaining > 0;
         self.remaining -= u8::from(available);
         available
     }
 
-    /// Lends to a call. One retry stays here when there are several, because a
-    /// loan is lost with its answer; a single one goes down, because a retry
-    /// next to the failure repeats the least work.
+    /// Reserves retries for a nested call. Keeps one back if there are several,
+    /// because a lost response also loses the reservation. A single retry is
+    /// passed down, because a retry next to the failure repeats the least work.
     pub fn reserve(&mut self) -> u8 {
         let reserved = match self.remaining {
             0 | 1 => self.remaining,
@@ -71,8 +72,8 @@
         reserved
     }
 
-    /// Takes back what a call did not spend of its loan. A peer that claims to
-    /// have spent more than it got changes nothing.
+    /// Releases the unspent part of a reservation. Releases nothing if the peer
+    /// reports more retries than were reserved.
     pub fn release(&mut self, reserved: u8, spent: u8) {
         let unspent = reserved.saturating_sub(spent);
         self.remaining = self.remaining.saturating_add(unspent).min(self.granted);
