--- a/src/request/balance.rs
+++ b/src/request/balance.rs
@@ -104,13 +104,13 @@
 
 /// How an attempt at an instance ended, as far as it tells of the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum Observation {
     /// It does its work, also when that is refusing under overload.
-    Well,
+    Healthy,
     /// It failed by its own fault.
-    Ill,
+    Unhealthy,
     /// Nothing can be said.
-    Neither,
+    Neutral,
 }
 
 /// All instances that this node sends to.
@@ -170,7 +170,13 @@
     }
 
     /// Whether an instance not yet tried would let this rank pass.
-    pub fn passes(&self, members: &Table, pool: &Pool, tried: &[Instance], rank: u16) -> bool {
+    pub fn admits_elsewhere(
+        &self,
+        members: &Table,
+        pool: &Pool,
+        tried: &[Instance],
+        rank: u16,
+    ) -> bool {
         members
             .serving(pool)
             .filter(|peer| !tried.contains(&peer.instance))
@@ -181,7 +187,7 @@
     }
 
     /// Picks one of these instances, and its present life.
-    pub fn among(
+    pub fn pick_from(
         &mut self,
         now: Time,
         members: &Table,
@@ -202,7 +208,7 @@
     }
 
     /// Whether there is an instance that has not been tried.
-    pub fn untried(&self, members: &Table, pool: &Pool, tried: &[Instance]) -> bool {
+    pub fn has_untried(&self, members: &Table, pool: &Pool, tried: &[Instance]) -> bool {
         let mut there = members
             .serving(pool)
             .filter(|peer| peer.status == Status::Alive);
@@ -210,14 +216,14 @@
     }
 
     /// An attempt was sent.
-    pub fn sent(&mut self, now: Time, peer: &Instance) {
+    pub fn record_sent(&mut self, now: Time, peer: &Instance) {
         let view = self.view(peer);
         view.outstanding += 1;
         view.sent = now;
     }
 
     /// An inbound proxy told its state.
-    pub fn told(&mut self, now: Time, peer: &Instance, report: &Report) {
+    pub fn record_report(&mut self, now: Time, peer: &Instance, report: &Report) {
         let view = self.view(peer);
         if report.life < view.life {
             return;
@@ -237,7 +243,7 @@
     }
 
     /// An instance told how long it usually serves a route.
-    pub fn served(&mut self, peer: &Instance, route: &Route, service_ms: u32) {
+    pub fn record_service_time(&mut self, peer: &Instance, route: &Route, service_ms: u32) {
         if service_ms == 0 {
             return;
         }
@@ -250,13 +256,13 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Time, peer: &Instance, mark: Mark) {
+    pub fn record_end(&mut self, now: Time, peer: &Instance, mark: Observation) {
         let view = self.view(peer);
         view.outstanding = view.outstanding.saturating_sub(1);
         let success = match mark {
-            Mark::Well => 1.0,
-            Mark::Ill => 0.0,
-            Mark::Neither => return,
+            Observation::Healthy => 1.0,
+            Observation::Unhealthy => 0.0,
+            Observation::Neutral => return,
         };
         view.success += (success - view.success) * SUCCESS_EWMA_WEIGHT;
         view.marked = now;
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     admission::Rank,
-    balance::Mark,
+    balance::Observation,
     clock::{
         Span,
         Time, //
@@ -75,7 +75,7 @@
                 (picked, Code::RecordUnavailable)
             }
             None if call.confined => {
-                let picked = self.balancer.among(
+                let picked = self.balancer.pick_from(
                     now,
                     world.members,
                     &call.rejected,
@@ -114,7 +114,7 @@
         };
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
-        self.balancer.sent(now, &peer);
+        self.balancer.record_sent(now, &peer);
         if let Some(hint) = self.hints.due(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
@@ -141,7 +141,7 @@
             life,
             loan,
             sent: now,
-            mark: Mark::Well,
+            mark: Observation::Healthy,
             judged: false,
         };
         self.attempts.insert(request, attempt);
@@ -181,9 +181,9 @@
         self.repay(request, report.spent, world);
         if retry::failed(status) {
             let mark = if report.no_retry {
-                Mark::Neither
+                Observation::Neutral
             } else {
-                Mark::Ill
+                Observation::Unhealthy
             };
             let reason = self.reason(now, number, Failure::Failed, report.no_retry, world);
             if let Some(reason) = reason {
@@ -222,7 +222,7 @@
         if call.state != State::Delivering(request) {
             // It ran to its end, but its answer was lost with the link.
             let failure = Failure::Unknown(Code::LinkLost);
-            self.settle(now, request, report.spent, Mark::Well, world);
+            self.settle(now, request, report.spent, Observation::Healthy, world);
             return self.failed(now, number, failure, report.no_retry, world, out);
         }
         let took = now.since(self.attempts[&request].sent).as_ms() as f64;
@@ -253,9 +253,9 @@
             Code::UpstreamRefused
             | Code::UpstreamRejected
             | Code::UpstreamCut
-            | Code::LinkAbsent => Mark::Ill,
-            Code::DeadlinePassed => Mark::Neither,
-            _ => Mark::Well,
+            | Code::LinkAbsent => Observation::Unhealthy,
+            Code::DeadlinePassed => Observation::Neutral,
+            _ => Observation::Healthy,
         };
         self.settle(now, request, report.spent, mark, world);
         if code == Code::UpstreamRejected
@@ -281,7 +281,7 @@
         let Some(number) = self.attempts.get(&request).map(|attempt| attempt.call) else {
             return;
         };
-        self.settle(now, request, 0, Mark::Ill, world);
+        self.settle(now, request, 0, Observation::Unhealthy, world);
         let failure = Failure::NotRun(Code::LinkAbsent);
         self.failed(now, number, failure, false, world, out);
     }
@@ -321,7 +321,7 @@
             State::Sent(_) => {
                 let failure = Failure::Unknown(Code::LinkLost);
                 if let Some(reason) = self.reason(now, number, failure, false, world) {
-                    self.abandon(now, request, Mark::Ill);
+                    self.abandon(now, request, Observation::Unhealthy);
                     return self.retry(now, number, failure, reason, world, out);
                 }
                 self.revoke(now, request, number, now + ATTEMPT_QUERY_TIMEOUT, out);
@@ -339,7 +339,7 @@
                 self.wake(number, again);
             }
             State::Delivering(_) => {
-                self.abandon(now, request, Mark::Ill);
+                self.abandon(now, request, Observation::Unhealthy);
                 self.fail(now, number, Code::LinkLost, world, out);
             }
             State::Charging(_) | State::Backoff(_) => {}
@@ -390,7 +390,7 @@
             return;
         };
         if now >= until {
-            self.abandon(now, request, Mark::Ill);
+            self.abandon(now, request, Observation::Unhealthy);
             let failure = Failure::Unknown(Code::LinkLost);
             return self.failed(now, number, failure, false, world, out);
         }
@@ -418,11 +418,11 @@
         let failure = match fate {
             Fate::Revoked => {
                 // Nothing was begun, so nothing of the loan was spent.
-                self.settle(now, request, 0, Mark::Neither, world);
+                self.settle(now, request, 0, Observation::Neutral, world);
                 Failure::NotRun(Code::Revoked)
             }
             Fate::Running | Fate::Ended | Fate::Forgotten => {
-                self.abandon(now, request, Mark::Neither);
+                self.abandon(now, request, Observation::Neutral);
                 Failure::Unknown(Code::LinkLost)
             }
         };
@@ -469,9 +469,9 @@
         }
         if failure == Failure::NotRun(Code::Shed) {
             let rank = Rank::of(&call.context, world.policy.nested_first).0;
-            let passes = self
-                .balancer
-                .passes(world.members, &call.pool, &call.tried, rank);
+            let passes =
+                self.balancer
+                    .admits_elsewhere(world.members, &call.pool, &call.tried, rank);
             if !passes {
                 return None;
             }
@@ -483,7 +483,7 @@
             && failure != Failure::NotRun(Code::UpstreamRejected)
             && !self
                 .balancer
-                .untried(world.members, &call.pool, &call.tried)
+                .has_untried(world.members, &call.pool, &call.tried)
         {
             world.counts.add(Counter::Unretried(reason));
             return None;
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -10,7 +10,7 @@
         Allowance,
         Allowances, //
     },
-    balance::Mark,
+    balance::Observation,
     clock::{
         Span,
         Time, //
@@ -120,7 +120,7 @@
     /// When it was sent.
     pub sent: Time,
     /// What its answer tells of the instance.
-    pub mark: Mark,
+    pub mark: Observation,
     /// Whether the silence of its instance has been considered.
     pub judged: bool,
 }
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -7,7 +7,7 @@
     call::State, //
 };
 use crate::{
-    balance::Mark,
+    balance::Observation,
     clock::{
         Span,
         Time, //
@@ -163,7 +163,7 @@
         {
             out.push(Action::Cancel(attempt.peer.clone(), request));
         }
-        self.abandon(now, request, Mark::Neither);
+        self.abandon(now, request, Observation::Neutral);
         true
     }
 
@@ -178,7 +178,7 @@
         world: &mut World<'_>,
     ) -> Option<id::Call> {
         self.hints.note(now, peer, report.life, report.hint, false);
-        self.balancer.told(now, peer, report);
+        self.balancer.record_report(now, peer, report);
         world.quota.heard(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
@@ -186,7 +186,8 @@
             return None;
         };
         if let Some(call) = self.calls.get(&attempt.call) {
-            self.balancer.served(peer, &call.route, report.service);
+            self.balancer
+                .record_service_time(peer, &call.route, report.service);
             let team = &call.context.team;
             // One that leaves sheds nothing, as it takes nothing: its level
             // would hide that those which stay are overloaded.
@@ -206,7 +207,7 @@
         now: Time,
         request: id::Request,
         spent: u8,
-        mark: Mark,
+        mark: Observation,
         world: &mut World<'_>,
     ) {
         self.repay(request, spent, world);
@@ -226,9 +227,9 @@
     }
 
     /// An attempt's end will not be heard: its loan is lost.
-    pub(super) fn abandon(&mut self, now: Time, request: id::Request, mark: Mark) {
+    pub(super) fn abandon(&mut self, now: Time, request: id::Request, mark: Observation) {
         if let Some(attempt) = self.attempts.remove(&request) {
-            self.balancer.ended(now, &attempt.peer, mark);
+            self.balancer.record_end(now, &attempt.peer, mark);
         }
     }
 
--- a/src/request/ingress/silence.rs
+++ b/src/request/ingress/silence.rs
@@ -13,7 +13,7 @@
     call::State, //
 };
 use crate::{
-    balance::Mark,
+    balance::Observation,
     clock::{
         Span,
         Time, //
@@ -51,7 +51,7 @@
             }
             let failure = Failure::Unknown(Code::LinkLost);
             if let Some(reason) = self.reason(now, number, failure, false, world) {
-                self.abandon(now, request, Mark::Ill);
+                self.abandon(now, request, Observation::Unhealthy);
                 out.push(Action::Cancel(peer, request));
                 self.retry(now, number, failure, reason, world, out);
             }
--- a/tests/policy/balance.rs
+++ b/tests/policy/balance.rs
@@ -5,7 +5,7 @@
 use bluebellswitch::{
     balance::{
         Balancer,
-        Mark, //
+        Observation, //
     },
     clock::{
         Span,
@@ -85,18 +85,22 @@
             ..Report::default()
         };
         let name = name.parse().expect("a name");
-        self.balancer.told(self.now, &name, &report);
+        self.balancer.record_report(self.now, &name, &report);
     }
 
     /// Sends requests that last for a while; how each instance ends them is up
     /// to `mark`. Returns how many each got.
-    fn run(&mut self, count: u32, mark: impl Fn(&str) -> (Mark, u64)) -> BTreeMap<String, u32> {
+    fn run(
+        &mut self,
+        count: u32,
+        mark: impl Fn(&str) -> (Observation, u64),
+    ) -> BTreeMap<String, u32> {
         let mut got: BTreeMap<String, u32> = BTreeMap::new();
         let mut open: Vec<(Time, id::Instance)> = Vec::new();
         for _ in 0..count {
             self.now += Span::from_ms(2);
             let instance = self.pick(&[]).expect("an instance");
-            self.balancer.sent(self.now, &instance);
+            self.balancer.record_sent(self.now, &instance);
             let (_, lasts) = mark(instance.as_str());
             open.push((self.now + Span::from_ms(lasts), instance.clone()));
             *got.entry(instance.to_string()).or_default() += 1;
@@ -104,7 +108,7 @@
             for (_, instance) in over {
                 let (mark, _) = mark(instance.as_str());
                 self.told(instance.as_str(), 0, 10);
-                self.balancer.ended(self.now, &instance, mark);
+                self.balancer.record_end(self.now, &instance, mark);
             }
         }
         got
@@ -117,8 +121,8 @@
 fn failing_fast_attracts_no_load() {
     let mut bench = Bench::new(&[("b", "north"), ("c", "north"), ("d", "north")]);
     let mark = |name: &str| match name {
-        "d" => (Mark::Ill, 1),
-        _ => (Mark::Well, 20),
+        "d" => (Observation::Unhealthy, 1),
+        _ => (Observation::Healthy, 20),
     };
     let got = bench.run(3000, mark);
     assert!(got["d"] < 200, "{got:?}");
@@ -130,8 +134,8 @@
 #[test]
 fn when_all_look_ill_none_is_left_out() {
     let mut bench = Bench::new(&[("b", "north"), ("c", "north"), ("d", "north")]);
-    bench.run(300, |_| (Mark::Ill, 10));
-    let got = bench.run(300, |_| (Mark::Ill, 10));
+    bench.run(300, |_| (Observation::Unhealthy, 10));
+    let got = bench.run(300, |_| (Observation::Unhealthy, 10));
     assert_eq!(got.len(), 3, "{got:?}");
     assert!(got.values().all(|count| *count > 50), "{got:?}");
 }
@@ -141,12 +145,12 @@
 fn an_ejected_instance_comes_back() {
     let mut bench = Bench::new(&[("b", "north"), ("c", "north"), ("d", "north")]);
     let ill = |name: &str| match name {
-        "d" => (Mark::Ill, 1),
-        _ => (Mark::Well, 20),
+        "d" => (Observation::Unhealthy, 1),
+        _ => (Observation::Healthy, 20),
     };
     bench.run(1000, ill);
     bench.now += Span::from_secs(60);
-    let got = bench.run(900, |_| (Mark::Well, 20));
+    let got = bench.run(900, |_| (Observation::Healthy, 20));
     assert!(got["d"] > 150, "{got:?}");
 }
 
@@ -164,7 +168,7 @@
     let mut far = 0;
     for _ in 0..count {
         let name = bench.pick(&[]).expect("an instance");
-        bench.balancer.sent(bench.now, &name);
+        bench.balancer.record_sent(bench.now, &name);
         far += u32::from(["d", "e"].contains(&name.as_str()));
     }
     assert!((least..=most).contains(&far), "{far}");
@@ -236,7 +240,7 @@
         ..Report::default()
     };
     let name: id::Instance = "b".parse().expect("a name");
-    bench.balancer.told(bench.now, &name, &leaving);
+    bench.balancer.record_report(bench.now, &name, &leaving);
     assert!((0..100).all(|_| bench.pick(&[]).is_some_and(|i| i.as_str() == "c")));
     let mut reborn = peer("b", "north");
     reborn.incarnation = id::Incarnation(2);
@@ -273,7 +277,7 @@
     assert_eq!(bench.pick(&[]), None);
     let pool = "p".parse().expect("a name");
     assert!(bench.members.is_evacuated(&pool));
-    assert!(!bench.balancer.untried(&bench.members, &pool, &[]));
+    assert!(!bench.balancer.has_untried(&bench.members, &pool, &[]));
     bench.evacuate(&[]);
     assert!(bench.pick(&[]).is_some());
 }
@@ -290,8 +294,8 @@
     ];
     let mut bench = Bench::new(&here);
     bench.run(400, |name| match name {
-        "b" | "e" => (Mark::Ill, 1),
-        _ => (Mark::Well, 5),
+        "b" | "e" => (Observation::Unhealthy, 1),
+        _ => (Observation::Healthy, 5),
     });
     bench.evacuate(&["south"]);
     assert!((0..200).all(|_| bench.pick(&[]).expect("an instance").as_str() != "b"));
@@ -311,10 +315,14 @@
     for _ in 0..200 {
         for name in ["b", "c", "d"] {
             let peer = name.parse().expect("a name");
-            bench.balancer.served(&peer, &route, service(name));
+            bench
+                .balancer
+                .record_service_time(&peer, &route, service(name));
         }
     }
-    let got = bench.run(6000, |name| (Mark::Well, u64::from(service(name))));
+    let got = bench.run(6000, |name| {
+        (Observation::Healthy, u64::from(service(name)))
+    });
     assert!(got["b"] < got["c"] && got["c"] < got["d"], "{got:?}");
     assert!(got["b"] > 600, "{got:?}");
 }
