--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     admission::Rank,
-    balance::Mark,
+    balance::Observation,
     clock::{
         Span,
         Time, //
@@ -75,7 +75,7 @@
                 (picked, Code::RecordUnavailable)
             }
             None if call.confined => {
-                let picked = self.balancer.among(
+                let picked = self.balancer.pick_from(
                     now,
                     world.members,
                     &call.rejected,
@@ -105,7 +105,7 @@
         };
         let loan = match world.policy.retries {
             Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.lend()),
+            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -114,7 +114,7 @@
         };
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
-        self.balancer.sent(now, &peer);
+        self.balancer.record_sent(now, &peer);
         if let Some(hint) = self.hints.due(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
@@ -141,7 +141,7 @@
             life,
             loan,
             sent: now,
-            mark: Mark::Well,
+            mark: Observation::Healthy,
             judged: false,
         };
         self.attempts.insert(request, attempt);
@@ -180,12 +180,12 @@
         }
         self.repay(request, report.spent, world);
         if retry::failed(status) {
-            let mark = if report.final_word {
-                Mark::Neither
+            let mark = if report.no_retry {
+                Observation::Neutral
             } else {
-                Mark::Ill
+                Observation::Unhealthy
             };
-            let reason = self.reason(now, number, Failure::Failed, report.final_word, world);
+            let reason = self.reason(now, number, Failure::Failed, report.no_retry, world);
             if let Some(reason) = reason {
                 self.settle(now, request, report.spent, mark, world);
                 out.push(Action::Cancel(peer.clone(), request));
@@ -222,8 +222,8 @@
         if call.state != State::Delivering(request) {
             // It ran to its end, but its answer was lost with the link.
             let failure = Failure::Unknown(Code::LinkLost);
-            self.settle(now, request, report.spent, Mark::Well, world);
-            return self.failed(now, number, failure, report.final_word, world, out);
+            self.settle(now, request, report.spent, Observation::Healthy, world);
+            return self.failed(now, number, failure, report.no_retry, world, out);
         }
         let took = now.since(self.attempts[&request].sent).as_ms() as f64;
         let typical = self.typical.entry(call.route.clone()).or_insert(took);
@@ -253,9 +253,9 @@
             Code::UpstreamRefused
             | Code::UpstreamRejected
             | Code::UpstreamCut
-            | Code::LinkAbsent => Mark::Ill,
-            Code::DeadlinePassed => Mark::Neither,
-            _ => Mark::Well,
+            | Code::LinkAbsent => Observation::Unhealthy,
+            Code::DeadlinePassed => Observation::Neutral,
+            _ => Observation::Healthy,
         };
         self.settle(now, request, report.spent, mark, world);
         if code == Code::UpstreamRejected
@@ -267,7 +267,7 @@
             Verdict::NotRun => Failure::NotRun(code),
             Verdict::Unknown => Failure::Unknown(code),
         };
-        self.failed(now, number, failure, report.final_word, world, out);
+        self.failed(now, number, failure, report.no_retry, world, out);
     }
 
     /// The attempt has not left this node.
@@ -281,7 +281,7 @@
         let Some(number) = self.attempts.get(&request).map(|attempt| attempt.call) else {
             return;
         };
-        self.settle(now, request, 0, Mark::Ill, world);
+        self.settle(now, request, 0, Observation::Unhealthy, world);
         let failure = Failure::NotRun(Code::LinkAbsent);
         self.failed(now, number, failure, false, world, out);
     }
@@ -321,7 +321,7 @@
             State::Sent(_) => {
                 let failure = Failure::Unknown(Code::LinkLost);
                 if let Some(reason) = self.reason(now, number, failure, false, world) {
-                    self.abandon(now, request, Mark::Ill);
+                    self.abandon(now, request, Observation::Unhealthy);
                     return self.retry(now, number, failure, reason, world, out);
                 }
                 self.revoke(now, request, number, now + ATTEMPT_QUERY_TIMEOUT, out);
@@ -339,7 +339,7 @@
                 self.wake(number, again);
             }
             State::Delivering(_) => {
-                self.abandon(now, request, Mark::Ill);
+                self.abandon(now, request, Observation::Unhealthy);
                 self.fail(now, number, Code::LinkLost, world, out);
             }
             State::Charging(_) | State::Backoff(_) => {}
@@ -390,7 +390,7 @@
             return;
         };
         if now >= until {
-            self.abandon(now, request, Mark::Ill);
+            self.abandon(now, request, Observation::Unhealthy);
             let failure = Failure::Unknown(Code::LinkLost);
             return self.failed(now, number, failure, false, world, out);
         }
@@ -418,11 +418,11 @@
         let failure = match fate {
             Fate::Revoked => {
                 // Nothing was begun, so nothing of the loan was spent.
-                self.settle(now, request, 0, Mark::Neither, world);
+                self.settle(now, request, 0, Observation::Neutral, world);
                 Failure::NotRun(Code::Revoked)
             }
             Fate::Running | Fate::Ended | Fate::Forgotten => {
-                self.abandon(now, request, Mark::Neither);
+                self.abandon(now, request, Observation::Neutral);
                 Failure::Unknown(Code::LinkLost)
             }
         };
@@ -435,13 +435,13 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
         out: &mut Vec<Action>,
     ) {
         let delivering = |call: &Call| matches!(call.state, State::Delivering(_));
         let delivered = self.calls.get(&number).is_some_and(delivering);
-        if !delivered && let Some(reason) = self.reason(now, number, failure, final_word, world) {
+        if !delivered && let Some(reason) = self.reason(now, number, failure, no_retry, world) {
             return self.retry(now, number, failure, reason, world, out);
         }
         let code = match failure {
@@ -457,7 +457,7 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
     ) -> Option<Reason> {
         let call = self.calls.get_mut(&number)?;
@@ -469,9 +469,9 @@
         }
         if failure == Failure::NotRun(Code::Shed) {
             let rank = Rank::of(&call.context, world.policy.nested_first).0;
-            let passes = self
-                .balancer
-                .passes(world.members, &call.pool, &call.tried, rank);
+            let passes =
+                self.balancer
+                    .admits_elsewhere(world.members, &call.pool, &call.tried, rank);
             if !passes {
                 return None;
             }
@@ -483,7 +483,7 @@
             && failure != Failure::NotRun(Code::UpstreamRejected)
             && !self
                 .balancer
-                .untried(world.members, &call.pool, &call.tried)
+                .has_untried(world.members, &call.pool, &call.tried)
         {
             world.counts.add(Counter::Unretried(reason));
             return None;
@@ -499,7 +499,7 @@
             }
             Reason::Unknown | Reason::Failed => false,
         };
-        let allowed = fits && (free || self.affordable(now, number, failure, final_word, world));
+        let allowed = fits && (free || self.affordable(now, number, failure, no_retry, world));
         if !allowed {
             world.counts.add(Counter::Unretried(reason));
         }
@@ -512,7 +512,7 @@
         now: Time,
         number: id::Call,
         failure: Failure,
-        final_word: bool,
+        no_retry: bool,
         world: &mut World<'_>,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -528,7 +528,7 @@
         let Some(purse) = call.purse(world.proxy.purses()) else {
             return false;
         };
-        let further = purse.left() > 0 && !final_word;
+        let further = purse.remaining() > 0 && !no_retry;
         if !further && !again {
             return false;
         }
@@ -536,7 +536,7 @@
             return false;
         }
         if further {
-            return purse.take();
+            return purse.try_take();
         }
         call.confined = true;
         true
