--- a/src/command/quota/run.rs
+++ b/src/command/quota/run.rs
@@ -156,7 +156,7 @@
         let count = self.driver.len();
         let mut seats = |node: usize| {
             let core = self.driver.core(node);
-            core.map_or(0, |core| core.keeper().seats(now).len())
+            core.map_or(0, |core| core.seat_manager().seats(now).len())
         };
         let mut ranked: Vec<(usize, usize)> = (0..count).map(|node| (seats(node), node)).collect();
         ranked.sort_by(|a, b| b.cmp(a));
--- a/src/process/export.rs
+++ b/src/process/export.rs
@@ -173,9 +173,9 @@
         let evacuated: Vec<_> = snapshot.evacuated().collect();
         let load = carrier.core().load(now);
         let mut core = carrier.core_mut();
-        let (age, standing) = (core.age(now), format!("{:?}", core.standing(now)));
-        let fault = core.fault().map(|fault| fault.reason.clone());
-        let fleet_calls = core.fleet_calls();
+        let (age, standing) = (core.config_age(now), format!("{:?}", core.standing(now)));
+        let fault = core.config_fault().map(|fault| fault.reason.clone());
+        let fleet_calls = core.membership_store_calls();
         let members: Vec<_> = core
             .members()
             .iter()
@@ -223,14 +223,14 @@
         let begun = Clock.now();
         let whole = || {
             let core = carrier.core();
-            core.reports().count() >= core.known_domains()
+            core.reports().count() >= core.live_domain_count()
         };
         while !whole() && Clock.now().since(begun) < SURVEY {
             tokio::time::sleep(SURVEY_STEP.to_std()).await;
         }
         let core = carrier.core();
         let domains: Vec<_> = core.reports().map(domain).collect();
-        let silent = core.unreported();
+        let silent = core.unreported_domains();
         let silent = silent.map(|name| json!({ "domain": name, "version": 0 }));
         let rollout = json!({
             "instance": carrier.me.instance,
--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -8,7 +8,7 @@
 mod listed;
 mod rights;
 
-pub(crate) use self::fleet::CHOICE;
+pub(crate) use self::fleet::WATCHER_AND_SEED_SALT;
 pub use self::listed::Bounds;
 
 use std::{
@@ -347,7 +347,7 @@
 
     /// Takes a health probe out of what the upstream may get. Returns whether it
     /// may be sent now.
-    pub fn probe(&mut self, now: Time) -> bool {
+    pub fn try_admit_probe(&mut self, now: Time) -> bool {
         let is_allowed = self.proxy.probe(now);
         if is_allowed {
             self.counts.add(Counter::Started(Kind::Probe));
--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -66,7 +66,7 @@
 /// How long a leaving node stays, at least, so that its word gets round.
 const LINGER: Span = Span::from_ms(1500);
 /// Purpose of the choice of watchers and seeds.
-pub(crate) const CHOICE: u64 = 0x5ee4;
+pub(crate) const WATCHER_AND_SEED_SALT: u64 = 0x5ee4;
 
 /// What a call to the store was for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -190,7 +190,7 @@
         let me = &self.identity.peer;
         let there = |peer: &&member::Peer| peer.status == Status::Alive;
         let home = self.members.domain(&me.domain).filter(there);
-        let best = member::ranked(home, CHOICE, SEEDS);
+        let best = member::ranked(home, WATCHER_AND_SEED_SALT, SEEDS);
         self.fleet.seed = best.iter().any(|peer| peer.instance == me.instance);
         self.fleet.watchers = best
             .into_iter()
@@ -202,7 +202,7 @@
     fn watchers(&self, domain: &Domain) -> Vec<Instance> {
         let there = |peer: &&member::Peer| peer.status == Status::Alive;
         let members = self.members.domain(domain).filter(there);
-        let best = member::ranked(members, CHOICE, WATCHERS);
+        let best = member::ranked(members, WATCHER_AND_SEED_SALT, WATCHERS);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
@@ -302,14 +302,14 @@
                 if document.version >= self.fleet.adopter.version() {
                     self.fleet.freshness.confirm(at);
                 }
-                self.offer(now, *document, out);
+                self.offer_document(now, *document, out);
             }
             Outcome::Broken(reason) => self.fleet.adopter.refuse(reason, &mut self.counts),
         }
     }
 
     /// Puts a document in force if it is newer and can be read.
-    pub fn offer(&mut self, now: Time, document: Document, out: &mut Vec<Action>) {
+    pub fn offer_document(&mut self, now: Time, document: Document, out: &mut Vec<Action>) {
         let snapshot = self.fleet.adopter.offer(document, &mut self.counts);
         self.adopted(now, snapshot, out);
     }
@@ -400,7 +400,7 @@
                 let snapshot = self.fleet.adopter.apply(deltas, &mut self.counts);
                 self.adopted(now, snapshot, out);
             }
-            adoption::Message::Snapshot(document) => self.offer(now, *document, out),
+            adoption::Message::Snapshot(document) => self.offer_document(now, *document, out),
             adoption::Message::Confirm { from, version } => {
                 self.fleet.roster.confirm(from, version);
             }
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -42,7 +42,7 @@
     }
 
     /// Calls to the store for membership and configuration, in this life.
-    pub fn fleet_calls(&self) -> u64 {
+    pub fn membership_store_calls(&self) -> u64 {
         self.fleet.calls
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// The newest document that could not be put in force, and why.
-    pub fn fault(&self) -> Option<&adoption::Fault> {
+    pub fn config_fault(&self) -> Option<&adoption::Fault> {
         self.fleet.adopter.fault()
     }
 
     /// Time since the store confirmed the version in force, as far as is known.
-    pub fn age(&self, now: Time) -> Option<Span> {
+    pub fn config_age(&self, now: Time) -> Option<Span> {
         self.fleet.freshness.age(now)
     }
 
@@ -87,12 +87,12 @@
     }
 
     /// Failure domains of which a member is there.
-    pub fn known_domains(&self) -> usize {
+    pub fn live_domain_count(&self) -> usize {
         self.inhabited().count()
     }
 
     /// Domains of which no report has come since the survey began.
-    pub fn unreported(&self) -> impl Iterator<Item = &Domain> {
+    pub fn unreported_domains(&self) -> impl Iterator<Item = &Domain> {
         let come = |domain: &Domain| self.reports().any(|report| report.domain == *domain);
         self.inhabited().filter(move |domain| !come(domain))
     }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The age of the last confirmation from which on keys are not accepted.
-    pub stale: Span,
+    pub stale_after: Span,
     /// The age from which on callers are better sent elsewhere.
-    pub ready: Span,
+    pub unready_after: Span,
     /// Retries for each first try at one pool, over the fleet.
     pub retry_ratio: f64,
     /// Retries at one pool that are free in a window, over the fleet.
@@ -77,18 +77,18 @@
     /// That window.
     pub retry_window: Span,
     /// Requests that a cold upstream may get beyond its rate.
-    pub cold: warmup::Bound,
+    pub cold_excess: warmup::Bound,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            stale: Span::from_secs(4),
-            ready: Span::from_secs(3),
+            stale_after: Span::from_secs(4),
+            unready_after: Span::from_secs(3),
             retry_ratio: 0.2,
             retry_slack: 48.0,
             retry_window: Span::from_secs(10),
-            cold: warmup::Bound::default(),
+            cold_excess: warmup::Bound::default(),
         }
     }
 }
@@ -165,9 +165,9 @@
 impl Core {
     /// Finds members and configuration in the store, from the beginning of the
     /// node on, and shares rates without owners.
-    pub fn list(&mut self, source: Source, bounds: Bounds) {
+    pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
         self.quota.lend(Bank::new(self.identity.peer.clone()));
-        self.proxy.bound_cold(bounds.cold);
+        self.proxy.bound_cold(bounds.cold_excess);
         self.listed = Some(Listed {
             bounds,
             directory: Directory::new(self.identity.peer.clone()),
@@ -188,7 +188,7 @@
     }
 
     /// Tells that the store had a record of a former life of this node.
-    pub fn begin_again(&mut self) {
+    pub fn mark_restarted(&mut self) {
         if let Some(listed) = &mut self.listed {
             listed.restarted = true;
         }
@@ -196,7 +196,7 @@
 
     /// Goes by other bounds from now on.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.proxy.bound_cold(bounds.cold);
+        self.proxy.bound_cold(bounds.cold_excess);
         if let Some(listed) = &mut self.listed {
             listed.bounds = bounds;
         }
@@ -208,12 +208,12 @@
             return self.draining.is_none();
         };
         let age = listed.follower.age(now);
-        let fresh = age.is_some_and(|age| age <= listed.bounds.ready);
+        let fresh = age.is_some_and(|age| age <= listed.bounds.unready_after);
         self.draining.is_none() && self.snapshot.version != Version(0) && fresh
     }
 
     /// The time since the version in force was certainly the newest.
-    pub fn listed_age(&self, now: Time) -> Option<Span> {
+    pub fn discovered_config_age(&self, now: Time) -> Option<Span> {
         self.listed.as_ref()?.follower.age(now)
     }
 
@@ -221,7 +221,7 @@
     pub(super) fn is_stale(&self, now: Time) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
             let age = listed.follower.age(now);
-            age.is_none_or(|age| age > listed.bounds.stale)
+            age.is_none_or(|age| age > listed.bounds.stale_after)
         })
     }
 
@@ -298,7 +298,7 @@
         };
         listed.watchers = watchers;
         let age = listed.follower.age(now);
-        let stale = age.is_none_or(|age| age > listed.bounds.stale);
+        let stale = age.is_none_or(|age| age > listed.bounds.stale_after);
         if stale != listed.stale {
             listed.stale = stale;
             out.push(Action::Log(LogEvent::ConfigStaleness { stale, age }));
@@ -371,7 +371,7 @@
                 bank.teams(now, &snapshot.teams.teams);
             }
         }
-        let age = self.listed_age(now);
+        let age = self.discovered_config_age(now);
         for (domain, order) in &snapshot.evacuations {
             if self.snapshot.evacuations.get(domain) != Some(order) {
                 out.push(Action::Log(LogEvent::Evacuated {
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -100,7 +100,7 @@
     }
 
     /// The rights that this node holds, to look at.
-    pub fn keeper(&self) -> &Keeper {
+    pub fn seat_manager(&self) -> &Keeper {
         &self.rights.keeper
     }
 
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -33,7 +33,7 @@
 impl Core {
     /// Tells the wall clock, in milliseconds since 1970. Without it, no key is
     /// ever taken for certainly new after an unplanned change of its owner.
-    pub fn wall(&mut self, now: Time, wall: u64) {
+    pub fn set_wall_clock(&mut self, now: Time, wall: u64) {
         self.rights.wall = Some((now, wall));
     }
 
--- a/src/process/probe.rs
+++ b/src/process/probe.rs
@@ -43,7 +43,7 @@
     loop {
         tokio::time::sleep(PERIOD.to_std()).await;
         let Some(path) = path(&carrier) else { continue };
-        if !carrier.core_mut().probe(Clock.now()) {
+        if !carrier.core_mut().try_admit_probe(Clock.now()) {
             continue;
         }
         let (finding, warmup) = probe(&carrier, path).await;
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -36,7 +36,7 @@
         let core = self.core();
         Known {
             version: core.snapshot().version,
-            age: core.listed_age(now),
+            age: core.discovered_config_age(now),
         }
     }
 
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -207,9 +207,9 @@
         });
         core.seed(settings.seeds.iter().copied());
         if let Some(source) = interface.configuration {
-            core.list(source, bounds);
+            core.enable_store_discovery(source, bounds);
             if restarted {
-                core.begin_again();
+                core.mark_restarted();
             }
             core.set_policy(Policy {
                 reroutes: REROUTES,
@@ -612,7 +612,7 @@
         let now = Clock.now();
         if now.since(pruned) >= PRUNE {
             pruned = now;
-            carrier.core_mut().wall(now, Clock.wall());
+            carrier.core_mut().set_wall_clock(now, Clock.wall());
             carrier.upstream.prune(now);
             carrier.links.prune(&carrier, now);
             carrier.listen_for_silence(now);
--- a/src/standin/crowd.rs
+++ b/src/standin/crowd.rs
@@ -220,7 +220,7 @@
     fn choose(peers: &[Peer], size: Size) -> usize {
         let domain = &peers[0].domain;
         let home = || peers.iter().filter(|peer| peer.domain == *domain);
-        let ranked = member::ranked(home(), crate::node::CHOICE, usize::MAX);
+        let ranked = member::ranked(home(), crate::node::WATCHER_AND_SEED_SALT, usize::MAX);
         let place = match size.watcher {
             true => 0,
             false => ranked.len() - 1,
@@ -241,8 +241,9 @@
         }
         let document = self.document.clone();
         let mut out = Vec::new();
-        self.core.offer(self.now, document.clone(), &mut out);
-        self.rest.offer(self.now, document, &mut out);
+        self.core
+            .offer_document(self.now, document.clone(), &mut out);
+        self.rest.offer_document(self.now, document, &mut out);
     }
 
     /// Runs for a length of time; forgets what the time before it cost.
@@ -347,7 +348,8 @@
         self.version += 1;
         self.document = changed(&self.document, self.version);
         let document = self.document.clone();
-        self.rest.offer(self.now, document, &mut Vec::new());
+        self.rest
+            .offer_document(self.now, document, &mut Vec::new());
         self.rumour(Span::ZERO, Vec::new());
         let have = id::Version(self.version - 1);
         let from = self.peers[self.home[0]].instance.clone();
--- a/tests/fleet/adoption.rs
+++ b/tests/fleet/adoption.rs
@@ -138,7 +138,7 @@
     for node in 0..EVERYONE {
         let core = driver.core(node).expect("a living node");
         let counted = core.counts().get(Counter::Invalid) > 0;
-        faulty += usize::from(counted && core.fault().is_some());
+        faulty += usize::from(counted && core.config_fault().is_some());
     }
     assert!(faulty >= 3, "each domain's watchers: {faulty}");
     write(&mut driver, &document(3, &["k1"]));
--- a/tests/platform/config.rs
+++ b/tests/platform/config.rs
@@ -172,8 +172,8 @@
     let bounds = [("revoke_ms".to_owned(), json!(5000))];
     let bounds = bounds::read(&bounds.into());
     let question = Span::from_ms(1500);
-    assert!(bounds.stale >= Span::from_ms(3000) + question);
-    assert!(bounds.stale < Span::from_ms(5000));
+    assert!(bounds.stale_after >= Span::from_ms(3000) + question);
+    assert!(bounds.stale_after < Span::from_ms(5000));
 }
 
 #[test]
--- a/tests/rights/seats.rs
+++ b/tests/rights/seats.rs
@@ -29,8 +29,8 @@
         let Some(core) = driver.core(node) else {
             continue;
         };
-        for seat in core.keeper().seats(now) {
-            let right = core.keeper().right(now, &seat).expect("it holds");
+        for seat in core.seat_manager().seats(now) {
+            let right = core.seat_manager().right(now, &seat).expect("it holds");
             let before = owners.insert(seat.clone(), node);
             assert_eq!(before, None, "{now}: {seat} has two owners");
             let (epoch, owner) = last.get(&seat).copied().unwrap_or((Epoch(0), node));
