--- a/src/command/quota.rs
+++ b/src/command/quota.rs
@@ -34,7 +34,7 @@
         Code,
         Error, //
     },
-    lease::Setting,
+    lease::Options,
     quota::Mode,
     standin::site::Site, //
 };
@@ -68,10 +68,10 @@
     }
 
     /// The times of leases that go with it.
-    pub fn setting(&self) -> Setting {
-        Setting {
-            succession: self.succession,
-            ..Setting::default()
+    pub fn setting(&self) -> Options {
+        Options {
+            name_successor: self.succession,
+            ..Options::default()
         }
     }
 }
--- a/src/process/lease.rs
+++ b/src/process/lease.rs
@@ -72,14 +72,14 @@
     /// Whether an owner with this number comes directly after one with that. A
     /// successor that takes over without the store counts one on, everybody else
     /// two, so that the two never meet.
-    pub fn follows(self, other: Self) -> bool {
+    pub fn directly_follows(self, other: Self) -> bool {
         self.0 > other.0 && self.0 <= other.0 + 2
     }
 }
 
 /// A right that holds now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Right {
+pub struct Ownership {
     /// Under which number.
     pub epoch: Epoch,
     /// Since when.
@@ -87,7 +87,7 @@
     /// Until when, if nothing renews it.
     pub until: Time,
     /// The number before, if this node held the right under it without a break.
-    pub follows: Option<Epoch>,
+    pub continued_epoch: Option<Epoch>,
 }
 
 /// One life of a node.
@@ -189,35 +189,35 @@
 
 /// Times that a keeper goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct Options {
     /// The short lease: how long after a crash its seats are lost to a node that
     /// is not its successor.
-    pub short: Span,
+    pub short_ttl: Span,
     /// Time between renewals of the short lease.
-    pub renew: Span,
+    pub renew_interval: Span,
     /// The long lease: how long an owner and its successor go on alone.
-    pub long: Span,
+    pub long_ttl: Span,
     /// How long a successor goes on that has taken over without the store, and
     /// how long its owner waits for one that is silent.
-    pub solo: Span,
+    pub takeover_limit: Span,
     /// How long a promise of the successor lasts.
-    pub promise: Span,
+    pub promise_ttl: Span,
     /// Kept back from every right, for clocks that run unevenly.
-    pub margin: Span,
+    pub clock_margin: Span,
     /// Whether owners name a successor at all.
-    pub succession: bool,
+    pub name_successor: bool,
 }
 
-impl Default for Setting {
+impl Default for Options {
     fn default() -> Self {
         Self {
-            short: Span::from_secs(15),
-            renew: Span::from_secs(5),
-            long: Span::from_secs(4 * 3600),
-            solo: Span::from_secs(15 * 60),
-            promise: Span::from_ms(1500),
-            margin: Span::from_ms(100),
-            succession: true,
+            short_ttl: Span::from_secs(15),
+            renew_interval: Span::from_secs(5),
+            long_ttl: Span::from_secs(4 * 3600),
+            takeover_limit: Span::from_secs(15 * 60),
+            promise_ttl: Span::from_ms(1500),
+            clock_margin: Span::from_ms(100),
+            name_successor: true,
         }
     }
 }
@@ -228,7 +228,7 @@
     /// Call the store; hand the answer back with the same number.
     Store(u64, Call),
     /// Tell another node.
-    Tell(Instance, Message),
+    Send(Instance, Message),
 }
 
 #[derive(Clone, Debug)]
@@ -257,9 +257,9 @@
 
 /// The rights of one node, and its part in those of others.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct SeatManager {
     me: Party,
-    setting: Setting,
+    setting: Options,
     born: Option<Time>,
     ticked: Time,
     rng: ChaCha8Rng,
@@ -284,12 +284,12 @@
     }
 }
 
-impl Keeper {
+impl SeatManager {
     /// A keeper without rights.
     pub fn new(instance: Instance, life: Incarnation, seed: u64) -> Self {
         Self {
             me: Party { instance, life },
-            setting: Setting::default(),
+            setting: Options::default(),
             born: None,
             ticked: Time::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -308,26 +308,26 @@
     }
 
     /// Goes by other times, from the beginning of the node on.
-    pub fn configure(&mut self, setting: Setting) {
+    pub fn configure(&mut self, setting: Options) {
         self.setting = setting;
     }
 
     /// The right to a seat, if this node holds it now. To be asked immediately
     /// before each use: a node that was paused learns here that its time is over.
-    pub fn right(&self, now: Time, seat: &Seat) -> Option<Right> {
+    pub fn ownership(&self, now: Time, seat: &Seat) -> Option<Ownership> {
         let held = self.held.get(seat)?;
         let until = self.until(held).min(held.cap);
-        (now < until).then_some(Right {
+        (now < until).then_some(Ownership {
             epoch: held.epoch,
             since: held.since,
             until,
-            follows: held.follows,
+            continued_epoch: held.follows,
         })
     }
 
     /// Seats that this node holds now.
     pub fn seats(&self, now: Time) -> Vec<Seat> {
-        let holds = |seat: &&Seat| self.right(now, seat).is_some();
+        let holds = |seat: &&Seat| self.ownership(now, seat).is_some();
         self.held.keys().filter(holds).cloned().collect()
     }
 
@@ -340,7 +340,7 @@
     }
 
     /// Learns who owns a seat.
-    pub fn hint(&mut self, seat: Seat, owner: Instance) {
+    pub fn set_owner_hint(&mut self, seat: Seat, owner: Instance) {
         self.hints.insert(seat, owner);
     }
 
--- a/src/process/lease/base.rs
+++ b/src/process/lease/base.rs
@@ -3,10 +3,10 @@
 
 use super::{
     Action,
-    Keeper,
     NONE,
     Node,
     Purpose,
+    SeatManager,
     alive_key,
     node_key,
     write, //
@@ -125,7 +125,7 @@
     }
 }
 
-impl Keeper {
+impl SeatManager {
     pub(super) fn base_tick(
         &mut self,
         now: Time,
@@ -140,10 +140,10 @@
         };
         let call = match &step {
             Step::Short => Call::Grant {
-                ttl: self.setting.short,
+                ttl: self.setting.short_ttl,
             },
             Step::Long => Call::Grant {
-                ttl: self.setting.long,
+                ttl: self.setting.long_ttl,
             },
             Step::RenewShort(lease) | Step::RenewLong(lease) => Call::Renew { lease: *lease },
             Step::Alive(lease) => Call::Swap {
@@ -177,10 +177,10 @@
         if !base.alive {
             return Some(Step::Alive(short.lease));
         }
-        if now >= short.asked + self.setting.renew {
+        if now >= short.asked + self.setting.renew_interval {
             return Some(Step::RenewShort(short.lease));
         }
-        if !self.setting.succession {
+        if !self.setting.name_successor {
             return None;
         }
         let Some(long) = base.long.filter(|term| now < term.end) else {
@@ -203,7 +203,7 @@
             let named = if fixed { named } else { successor };
             return Some(Step::Node(long.lease, named.cloned()));
         }
-        let due = long.asked + self.setting.long.scale(0.02).min(Span::from_secs(120));
+        let due = long.asked + self.setting.long_ttl.scale(0.02).min(Span::from_secs(120));
         (now >= due).then_some(Step::RenewLong(long.lease))
     }
 
@@ -215,7 +215,7 @@
         self.base.busy_until = Time::ZERO;
         self.base.failures = 0;
         self.base.next_at = Time::ZERO;
-        let margin = self.setting.margin;
+        let margin = self.setting.clock_margin;
         match (step, answer) {
             (Step::Short, Answer::Leased { lease, ttl }) => {
                 self.base.short = Some(Term {
--- a/src/process/lease/claim.rs
+++ b/src/process/lease/claim.rs
@@ -15,13 +15,13 @@
     Basis,
     Epoch,
     Held,
-    Keeper,
     NONE,
     Node,
     Party,
     Purpose,
     Record,
     Seat,
+    SeatManager,
     alive_key,
     is_gone,
     node_key,
@@ -117,7 +117,7 @@
     }
 }
 
-impl Keeper {
+impl SeatManager {
     pub(super) fn claim_tick(
         &mut self,
         now: Time,
@@ -245,7 +245,7 @@
     /// Notes that somebody asks this node for what the seat gives, as the owner
     /// that it knew does not answer. A look at the store follows, though not at
     /// every such question.
-    pub fn contest(&mut self, now: Time, seat: &Seat) {
+    pub fn note_unreachable_owner(&mut self, now: Time, seat: &Seat) {
         if !self.held.contains_key(seat) && !self.draining {
             self.claims.contested.insert(seat.clone(), now);
             if let Some(due) = self.claims.due.get_mut(seat)
@@ -313,7 +313,7 @@
             return self.gained(now, claim);
         }
         // Whoever held it all the time goes on with what it counted.
-        let right = self.right(now, &claim.seat).map(|right| right.epoch);
+        let right = self.ownership(now, &claim.seat).map(|right| right.epoch);
         claim.follows = right.filter(|epoch| *epoch == claim.epoch);
         claim.epoch = Epoch(claim.epoch.0 + 2);
         claim.number = self.claim_number();
@@ -419,7 +419,7 @@
         }
         self.hints.remove(&claim.seat);
         // The right may have ended while the write was under way.
-        let still = self.right(now, &claim.seat).map(|right| right.epoch);
+        let still = self.ownership(now, &claim.seat).map(|right| right.epoch);
         let follows = claim.follows.filter(|_| still == claim.follows);
         let before = self.held.get(&claim.seat);
         let same = |held: &&Held| held.epoch == claim.epoch || follows.is_some();
--- a/src/process/lease/pair.rs
+++ b/src/process/lease/pair.rs
@@ -8,9 +8,9 @@
     Basis,
     Epoch,
     Extend,
-    Keeper,
     Message,
     Seat,
+    SeatManager,
     Standing,
     State, //
 };
@@ -106,7 +106,7 @@
     }
 }
 
-impl Keeper {
+impl SeatManager {
     pub(super) fn pair_tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.pair_follow(now);
         self.bind(now);
@@ -175,7 +175,7 @@
     /// From a promise on, seats hold no longer than promises do, and a successor
     /// may take over as soon as they have ended.
     fn bind(&mut self, now: Time) {
-        let fresh = self.setting.promise.scale(0.5);
+        let fresh = self.setting.promise_ttl.scale(0.5);
         if let Some(pair) = &mut self.pair
             && !pair.frozen
             && now + fresh < pair.promise_end
@@ -208,7 +208,7 @@
     /// long that, had it taken over, its time would be over too: it counts from
     /// the clock that it last told, which was before this owner heard it.
     fn outlast(&mut self, now: Time) {
-        let over = self.setting.solo + self.setting.margin;
+        let over = self.setting.takeover_limit + self.setting.clock_margin;
         let live = self.base.live(now);
         let Some(pair) = &self.pair else {
             return;
@@ -226,7 +226,7 @@
     /// successor to thaw on that ground lost its seats when the lease ended,
     /// without a successor that knew of it. Only word from the store thaws.
     fn is_cut(&self, now: Time) -> bool {
-        self.base.silence(now) > SILENCE + self.setting.renew
+        self.base.silence(now) > SILENCE + self.setting.renew_interval
     }
 
     fn has_short(&self) -> bool {
@@ -288,7 +288,7 @@
             heard: pair.heard.map(|(clock, _)| clock),
             seats,
         };
-        out.push(Action::Tell(
+        out.push(Action::Send(
             pair.successor.clone(),
             Message::Extend(extend),
         ));
@@ -302,7 +302,7 @@
     }
 
     pub(super) fn accord(&mut self, now: Time, accord: Accord) {
-        let (promise, draining) = (self.setting.promise, self.draining);
+        let (promise, draining) = (self.setting.promise_ttl, self.draining);
         let live = self.base.live(now);
         let mine = accord.life == self.me.life;
         let Some(pair) = &mut self.pair else {
@@ -366,7 +366,7 @@
     fn dispossess(&mut self, now: Time) {
         self.held
             .retain(|_, held| matches!(held.basis, Basis::Solo(_)));
-        self.claims.barred = now + self.setting.solo + self.setting.margin;
+        self.claims.barred = now + self.setting.takeover_limit + self.setting.clock_margin;
         if let Some(pair) = &mut self.pair {
             pair.frozen = false;
             pair.bound = false;
--- a/src/process/lease/ward.rs
+++ b/src/process/lease/ward.rs
@@ -8,11 +8,11 @@
     Epoch,
     Extend,
     Held,
-    Keeper,
     Message,
+    Options,
     Party,
     Seat,
-    Setting,
+    SeatManager,
     Standing,
     State, //
 };
@@ -89,12 +89,12 @@
     }
 }
 
-impl Keeper {
+impl SeatManager {
     pub(super) fn extend(&mut self, now: Time, extend: Extend, out: &mut Vec<Action>) {
-        let Setting {
-            margin,
-            promise,
-            solo,
+        let Options {
+            clock_margin: margin,
+            promise_ttl: promise,
+            takeover_limit: solo,
             ..
         } = self.setting;
         let claiming = self.claims.is_against(&extend.owner);
@@ -132,7 +132,7 @@
             standing,
             clock: now.as_ms(),
         };
-        out.push(Action::Tell(extend.owner.instance, Message::Accord(accord)));
+        out.push(Action::Send(extend.owner.instance, Message::Accord(accord)));
     }
 
     /// Takes over without the store what can have no other owner.
@@ -164,7 +164,7 @@
                 }
             }
         }
-        let keep = self.setting.long;
+        let keep = self.setting.long_ttl;
         self.wards
             .retain(|_, ward| !ward.seats.is_empty() || now.since(ward.last) < keep.scale(0.01));
     }
@@ -193,7 +193,7 @@
     pub(super) fn is_bound(&self, now: Time, owner: &Party, read: Time) -> bool {
         let Some(ward) = self.wards.get(owner) else {
             let born = self.born.unwrap_or(now);
-            return now < born + self.setting.promise + self.setting.short;
+            return now < born + self.setting.promise_ttl + self.setting.short_ttl;
         };
         let promised = ward.promised.is_some_and(|promised| promised >= read);
         promised || now <= ward.promise_end
@@ -217,7 +217,7 @@
     }
 
     /// Whether this node is the successor of the seat's owner.
-    pub fn is_heir(&self, seat: &Seat) -> bool {
+    pub fn is_successor_for(&self, seat: &Seat) -> bool {
         let of = |ward: &Ward| ward.seats.iter().any(|(name, _)| name == seat);
         self.wards.values().any(of)
     }
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Keeper,
         Seat, //
+        SeatManager,
     },
     message::Message,
     quota::{
@@ -50,7 +50,7 @@
 /// What this node holds for the fleet, and whom it believes to hold the rest.
 #[derive(Debug)]
 pub(super) struct Rights {
-    keeper: Keeper,
+    keeper: SeatManager,
     owner: Owner,
     records: record::Owner,
     /// Where this node's ingress looks for record owners.
@@ -72,7 +72,7 @@
 impl Rights {
     pub(super) fn new(instance: Instance, life: crate::id::Incarnation, seed: u64) -> Self {
         Self {
-            keeper: Keeper::new(instance, life, seed),
+            keeper: SeatManager::new(instance, life, seed),
             owner: Owner::default(),
             records: record::Owner::default(),
             directory: Directory::default(),
@@ -91,7 +91,7 @@
 impl Core {
     /// Shares rates in another way, and goes by other times of leases, from the
     /// beginning of the node on.
-    pub fn configure(&mut self, mode: Mode, setting: lease::Setting) {
+    pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
         self.quota.switch(mode);
         self.rights.keeper.configure(setting);
         if let Mode::Standing(percent, _) = mode {
@@ -100,7 +100,7 @@
     }
 
     /// The rights that this node holds, to look at.
-    pub fn keeper(&self) -> &Keeper {
+    pub fn keeper(&self) -> &SeatManager {
         &self.rights.keeper
     }
 
@@ -212,7 +212,7 @@
                     let number = self.ask(Asker::Rights, call, out);
                     self.rights.tickets.insert(number, ticket);
                 }
-                lease::Action::Tell(to, message) => self.tell(&to, Message::Lease(message), out),
+                lease::Action::Send(to, message) => self.tell(&to, Message::Lease(message), out),
             }
         }
     }
@@ -249,19 +249,19 @@
     fn grant(&mut self, now: Time, ask: &quota::Ask) -> Reply {
         let seat = seats::quota(&ask.team);
         let rights = &mut self.rights;
-        let right = rights.keeper.right(now, &seat);
+        let right = rights.keeper.ownership(now, &seat);
         let row = self.snapshot.teams.team(&ask.team);
         match (right, row) {
             (Some(right), Some(row)) if rights.leaving.is_none() => {
                 rights.owner.ask(now, right, row, ask)
             }
             _ => {
-                rights.keeper.contest(now, &seat);
+                rights.keeper.note_unreachable_owner(now, &seat);
                 let me = &self.identity.peer.instance;
                 let owner = match rights.leaving {
                     Some(_) => rights.keeper.successor(),
                     // The next owner of a seat does not send its askers back.
-                    None if rights.keeper.is_heir(&seat) => None,
+                    None if rights.keeper.is_successor_for(&seat) => None,
                     None => rights.keeper.owner(&seat),
                 };
                 Reply::Elsewhere(owner.filter(|owner| *owner != me).cloned())
@@ -282,12 +282,12 @@
         match &reply {
             Reply::Elsewhere(Some(other)) => {
                 self.rights.unanswered.remove(&seat);
-                self.rights.keeper.hint(seat, other.clone());
+                self.rights.keeper.set_owner_hint(seat, other.clone());
             }
             Reply::Elsewhere(None) => {}
             Reply::Granted { .. } | Reply::Over(_) => {
                 self.rights.unanswered.remove(&seat);
-                self.rights.keeper.hint(seat, from);
+                self.rights.keeper.set_owner_hint(seat, from);
             }
         }
         if self.quota.reply(now, &team, number, reply) {
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -88,13 +88,13 @@
     fn judge(&mut self, now: Time, arrival: &Arrival, out: &mut Vec<Action>) -> Verdict {
         let life = self.record_life();
         let rights = &mut self.rights;
-        let right = rights.keeper.right(now, &arrival.seat);
+        let right = rights.keeper.ownership(now, &arrival.seat);
         let wall = rights.wall.map(|(at, wall)| wall + now.since(at).as_ms());
         if let Some(right) = right.filter(|_| rights.leaving.is_none()) {
             return rights.records.arrive(now, right, arrival, life, wall);
         }
         if rights.leaving.is_none() {
-            rights.keeper.contest(now, &arrival.seat);
+            rights.keeper.note_unreachable_owner(now, &arrival.seat);
         }
         let owner = rights.keeper.owner(&arrival.seat).cloned();
         if let Some(owner) = owner.filter(|owner| *owner != self.identity.peer.instance) {
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -24,7 +24,7 @@
     },
     lease::{
         Epoch,
-        Right, //
+        Ownership, //
     },
     team::Team,
     unit::Rate, //
@@ -84,7 +84,7 @@
     }
 
     /// Answers a holder's wish under a right that holds now.
-    pub fn ask(&mut self, now: Time, right: Right, team: &Team, ask: &Ask) -> Reply {
+    pub fn ask(&mut self, now: Time, right: Ownership, team: &Team, ask: &Ask) -> Reply {
         let kept = 100 - u64::from(self.percent.unwrap_or(0));
         let team = scaled(team, kept);
         let ledger = self.ledger(right, &team);
@@ -131,7 +131,7 @@
         }
     }
 
-    fn ledger(&mut self, right: Right, team: &Team) -> &mut Ledger {
+    fn ledger(&mut self, right: Ownership, team: &Team) -> &mut Ledger {
         let fresh = || {
             let mut ledger = Ledger::new(right.epoch, Bucket::empty(right.since));
             (ledger.rate, ledger.burst) = (team.rate, team.burst);
@@ -140,12 +140,12 @@
         let ledger = self.ledgers.entry(team.name.clone()).or_insert_with(fresh);
         // Tokens of an earlier right of this node may have been granted anew by
         // an owner in between: the account begins again, empty.
-        if right.follows == Some(ledger.epoch) {
+        if right.continued_epoch == Some(ledger.epoch) {
             ledger.epoch = right.epoch;
         } else if ledger.epoch != right.epoch {
             *ledger = fresh();
         }
-        let heir = |account: &&Account| right.epoch.follows(account.epoch);
+        let heir = |account: &&Account| right.epoch.directly_follows(account.epoch);
         if let Some(account) = self.inherited.get(&team.name).filter(heir) {
             ledger.credit(account.millis);
         }
@@ -247,7 +247,7 @@
         self.bucket.fill(now, self.rate, self.cap());
     }
 
-    fn answer(&mut self, now: Time, right: Right, ask: &Ask) -> Reply {
+    fn answer(&mut self, now: Time, right: Ownership, ask: &Ask) -> Reply {
         if let Some(reply) = self.repeat(now, ask) {
             return reply;
         }
--- a/src/request/record/owner.rs
+++ b/src/request/record/owner.rs
@@ -29,7 +29,7 @@
     inbound::End,
     lease::{
         Epoch,
-        Right,
+        Ownership,
         Seat, //
     },
 };
@@ -97,7 +97,7 @@
     pub fn arrive(
         &mut self,
         now: Time,
-        right: Right,
+        right: Ownership,
         arrival: &Arrival,
         life: Span,
         wall: Option<u64>,
@@ -213,11 +213,11 @@
     }
 
     /// Brings the slice to the right that holds now.
-    fn open(&mut self, now: Time, right: Right, seat: &Seat) {
+    fn open(&mut self, now: Time, right: Ownership, seat: &Seat) {
         let known = self.slices.get_mut(seat);
         match known {
             Some(slice) if slice.epoch == right.epoch => {}
-            Some(slice) if right.follows == Some(slice.epoch) => slice.epoch = right.epoch,
+            Some(slice) if right.continued_epoch == Some(slice.epoch) => slice.epoch = right.epoch,
             // Another node may have run keys in between: what was recorded here
             // is no longer the whole truth.
             _ => {
@@ -237,7 +237,7 @@
         let Some((epoch, records)) = self.inherited.get(seat) else {
             return;
         };
-        if !slice.epoch.follows(*epoch) {
+        if !slice.epoch.directly_follows(*epoch) {
             return;
         }
         slice.complete = true;
--- a/tests/fleet/site.rs
+++ b/tests/fleet/site.rs
@@ -10,7 +10,7 @@
         Instance,
         Revision, //
     },
-    lease::Setting,
+    lease::Options,
     member::Status,
     node::Core,
     quota::Mode,
@@ -48,10 +48,10 @@
 /// configuration. The calls of
 /// leases have a bound of their own in the tests of rights.
 fn rare_leases(core: &mut Core) {
-    let setting = Setting {
-        short: Span::from_secs(4 * 3600),
-        renew: Span::from_secs(3600),
-        ..Setting::default()
+    let setting = Options {
+        short_ttl: Span::from_secs(4 * 3600),
+        renew_interval: Span::from_secs(3600),
+        ..Options::default()
     };
     core.configure(Mode::Grants, setting);
 }
--- a/tests/oracle.rs
+++ b/tests/oracle.rs
@@ -10,7 +10,7 @@
 use bluebellswitch::{
     clock::Span,
     context::Importance,
-    lease::Setting,
+    lease::Options,
     policy::{
         Choice,
         Policy,
@@ -259,7 +259,7 @@
     let mut script = eventful();
     script.deeds.insert(1, (Span::from_ms(1), Deed::Load(3.0)));
     let mut play = Play::prepared(&script, |core| {
-        core.configure(Mode::Slices(1), Setting::default());
+        core.configure(Mode::Slices(1), Options::default());
     })
     .expect("names");
     let broken = judge(&script, &mut play);
--- a/tests/regression/frozen_owner.rs
+++ b/tests/regression/frozen_owner.rs
@@ -20,7 +20,7 @@
         return Vec::new();
     };
     let all = (0..16).map(|number| Seat(format!("quota/{number}")));
-    all.filter(|seat| core.keeper().right(now, seat).is_some())
+    all.filter(|seat| core.keeper().ownership(now, seat).is_some())
         .collect()
 }
 
--- a/tests/rights/seats.rs
+++ b/tests/rights/seats.rs
@@ -30,7 +30,7 @@
             continue;
         };
         for seat in core.keeper().seats(now) {
-            let right = core.keeper().right(now, &seat).expect("it holds");
+            let right = core.keeper().ownership(now, &seat).expect("it holds");
             let before = owners.insert(seat.clone(), node);
             assert_eq!(before, None, "{now}: {seat} has two owners");
             let (epoch, owner) = last.get(&seat).copied().unwrap_or((Epoch(0), node));
--- a/tests/rights/window.rs
+++ b/tests/rights/window.rs
@@ -10,7 +10,7 @@
     id,
     lease::{
         Epoch,
-        Right, //
+        Ownership, //
     },
     quota::{
         Charge,
@@ -73,7 +73,7 @@
 struct World {
     now: Time,
     team: Team,
-    owners: Vec<(Owner, Right)>,
+    owners: Vec<(Owner, Ownership)>,
     holders: Vec<Holder>,
     /// Messages under way, with the holder they are for; none: for an owner.
     bag: Vec<(Option<usize>, usize, Message)>,
@@ -112,11 +112,11 @@
         if let Some((_, right)) = self.owners.last() {
             self.now = self.now.max(right.until);
         }
-        let right = Right {
+        let right = Ownership {
             epoch: Epoch(self.owners.len() as u64 + 1),
             since: self.now,
             until: self.now + RIGHT,
-            follows: None,
+            continued_epoch: None,
         };
         self.owners.push((Owner::default(), right));
     }
