--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -66,7 +66,7 @@
     /// When nothing that was done under its rights was outstanding any more.
     settled: Option<Time>,
     /// What was in the buckets when the seats were given up.
-    accounts: Option<Vec<quota::Account>>,
+    accounts: Option<Vec<quota::BucketSnapshot>>,
 }
 
 impl Rights {
@@ -133,7 +133,7 @@
     }
 
     fn rights_leave(&mut self, now: Time, out: &mut Vec<Action>) {
-        let over = |since: Time| now.since(since) > quota::LIFE;
+        let over = |since: Time| now.since(since) > quota::MAX_GRANT_LIFE;
         if !self.rights.leaving.is_some_and(over) {
             return;
         }
@@ -173,7 +173,7 @@
         };
         self.records_hand_on(now, &to, out);
         if !accounts.is_empty() {
-            self.quota_tell(now, &to, quota::Message::Accounts(accounts), out);
+            self.quota_tell(now, &to, quota::Message::Buckets(accounts), out);
         }
     }
 
@@ -236,7 +236,7 @@
                 number,
                 reply,
             } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Accounts(accounts) => self.rights.owner.inherit(accounts),
+            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
                     self.rights.owner.returned(now, row, &returns);
@@ -264,7 +264,7 @@
                     None if rights.keeper.is_successor_for(&seat) => None,
                     None => rights.keeper.owner(&seat),
                 };
-                Reply::Elsewhere(owner.filter(|owner| *owner != me).cloned())
+                Reply::NotOwner(owner.filter(|owner| *owner != me).cloned())
             }
         }
     }
@@ -280,12 +280,12 @@
     ) {
         let seat = seats::quota(&team);
         match &reply {
-            Reply::Elsewhere(Some(other)) => {
+            Reply::NotOwner(Some(other)) => {
                 self.rights.unanswered.remove(&seat);
                 self.rights.keeper.set_owner_hint(seat, other.clone());
             }
-            Reply::Elsewhere(None) => {}
-            Reply::Granted { .. } | Reply::Over(_) => {
+            Reply::NotOwner(None) => {}
+            Reply::Granted { .. } | Reply::OverRate(_) => {
                 self.rights.unanswered.remove(&seat);
                 self.rights.keeper.set_owner_hint(seat, from);
             }
--- a/src/process/quota.rs
+++ b/src/process/quota.rs
@@ -37,9 +37,9 @@
 };
 
 /// The longest life of a grant.
-pub const LIFE: Span = Span::from_ms(300);
+pub const MAX_GRANT_LIFE: Span = Span::from_ms(300);
 /// The shortest life of a grant that is of use.
-pub const SHORTEST: Span = Span::from_ms(60);
+pub const MIN_GRANT_LIFE: Span = Span::from_ms(60);
 
 /// What became of a wish for one token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// The quota owner was asked; try again when its answer is here.
     Pending,
     /// The team is over its rate.
-    Over,
+    OverRate,
     /// No quota owner answers.
     Unavailable,
 }
@@ -107,9 +107,11 @@
         scarce: bool,
     },
     /// The bucket is empty for this long.
-    Over(Span),
+    #[serde(rename = "Over")]
+    OverRate(Span),
     /// This node does not own the quota; that one may.
-    Elsewhere(Option<Instance>),
+    #[serde(rename = "Elsewhere")]
+    NotOwner(Option<Instance>),
 }
 
 /// What quota owners and holders of grants tell each other.
@@ -131,13 +133,14 @@
     /// A holder gives tokens back.
     Return(Team, Vec<Return>),
     /// What a leaving owner had in its buckets, for its successor.
-    Accounts(Vec<Account>),
+    #[serde(rename = "Accounts")]
+    Buckets(Vec<BucketSnapshot>),
 }
 
 /// One team's bucket, as a leaving owner hands it on when nothing that it
 /// granted is outstanding any more.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
+pub struct BucketSnapshot {
     /// The team.
     pub team: Team,
     /// The right under which it was kept.
--- a/src/process/quota/bank.rs
+++ b/src/process/quota/bank.rs
@@ -187,7 +187,7 @@
         others: Waiting,
     ) -> Charge {
         let Some((rate, _)) = self.limits.get(team) else {
-            return Charge::Over;
+            return Charge::OverRate;
         };
         if rate.as_millis() == 0 {
             return Charge::Taken(Grant(0));
@@ -197,7 +197,7 @@
             self.accounts.insert(team.clone(), account);
         }
         let Some(account) = self.accounts.get_mut(team) else {
-            return Charge::Over;
+            return Charge::OverRate;
         };
         let mut waiting = others;
         waiting.add(importance);
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -320,13 +320,13 @@
             return false;
         };
         match reply {
-            Reply::Elsewhere(other) => {
+            Reply::NotOwner(other) => {
                 if let (Some(_), Some(wish)) = (other, &mut account.wish) {
                     wish.sent = Time::ZERO;
                 }
                 return false;
             }
-            Reply::Over(wait) => {
+            Reply::OverRate(wait) => {
                 account.over = now + wait;
                 account.scarce = true;
             }
@@ -400,7 +400,7 @@
         if share.bucket.take(1) {
             return Some(Charge::Taken(Grant(0)));
         }
-        matches!(self.mode, Mode::Slices(_)).then_some(Charge::Over)
+        matches!(self.mode, Mode::Slices(_)).then_some(Charge::OverRate)
     }
 
     fn ask(&mut self, now: Time, team: &Team) {
@@ -512,7 +512,7 @@
             return Charge::Taken(held.grant);
         }
         if now < self.over {
-            return Charge::Over;
+            return Charge::OverRate;
         }
         if self.unreachable {
             return Charge::Unavailable;
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use super::{
-    Account,
     Ask,
     Batch,
     Bucket,
-    LIFE,
+    BucketSnapshot,
+    MAX_GRANT_LIFE,
+    MIN_GRANT_LIFE,
     Reply,
     Return,
-    SHORTEST,
     bucket::MILLI, //
 };
 use crate::{
@@ -73,7 +73,7 @@
 pub struct Owner {
     ledgers: BTreeMap<crate::id::Team, Ledger>,
     percent: Option<u32>,
-    inherited: BTreeMap<crate::id::Team, Account>,
+    inherited: BTreeMap<crate::id::Team, BucketSnapshot>,
 }
 
 impl Owner {
@@ -105,9 +105,9 @@
 
     /// The buckets, to be handed on by an owner that leaves. Nothing that it
     /// granted may be outstanding any more.
-    pub fn accounts(&self) -> Vec<Account> {
+    pub fn accounts(&self) -> Vec<BucketSnapshot> {
         let settled = |ledger: &&Ledger| ledger.outstanding.is_empty();
-        let account = |(team, ledger): (&crate::id::Team, &Ledger)| Account {
+        let account = |(team, ledger): (&crate::id::Team, &Ledger)| BucketSnapshot {
             team: team.clone(),
             epoch: ledger.epoch,
             millis: ledger.bucket.millis(),
@@ -125,7 +125,7 @@
 
     /// Notes what an owner that left had in its buckets. It counts only for the
     /// right that directly follows that owner's.
-    pub fn inherit(&mut self, accounts: Vec<Account>) {
+    pub fn inherit(&mut self, accounts: Vec<BucketSnapshot>) {
         for account in accounts {
             self.inherited.insert(account.team.clone(), account);
         }
@@ -145,7 +145,7 @@
         } else if ledger.epoch != right.epoch {
             *ledger = fresh();
         }
-        let heir = |account: &&Account| right.epoch.directly_follows(account.epoch);
+        let heir = |account: &&BucketSnapshot| right.epoch.directly_follows(account.epoch);
         if let Some(account) = self.inherited.get(&team.name).filter(heir) {
             ledger.credit(account.millis);
         }
@@ -254,13 +254,13 @@
         // A grant never outlives the right under which it was made, so the next
         // owner, which begins after that right, has nothing outstanding to fear.
         let length = self.life().min(now.until(right.until));
-        if length < SHORTEST {
-            return Reply::Elsewhere(None);
+        if length < MIN_GRANT_LIFE {
+            return Reply::NotOwner(None);
         }
         let tokens = self.bucket.tokens();
         let share = tokens.div_ceil(2).min(u64::from(ask.want));
         if share == 0 {
-            return Reply::Over(self.wait());
+            return Reply::OverRate(self.wait());
         }
         self.bucket.take(share);
         self.granted += share * MILLI;
@@ -316,7 +316,7 @@
         let before = self.latest.get(&ask.from);
         let late = before.is_some_and(|l| (l.life, l.number) > (ask.life, ask.number));
         if late {
-            return Some(Reply::Over(WAIT_SHORTEST));
+            return Some(Reply::OverRate(WAIT_SHORTEST));
         }
         self.latest.insert(ask.from.clone(), latest);
         None
@@ -326,7 +326,7 @@
     /// outstanding takes its place in the burst.
     fn life(&self) -> Span {
         let half = u64::from(self.burst) * 1_000_000 / (2 * self.rate.as_millis().max(1));
-        Span::from_ms(half).clamp(Span::from_ms(150), LIFE)
+        Span::from_ms(half).clamp(Span::from_ms(150), MAX_GRANT_LIFE)
     }
 
     fn wait(&self) -> Span {
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -194,7 +194,7 @@
     match charge {
         Charge::Taken(grant) => Ok(Some(grant)),
         Charge::Pending => Ok(None),
-        Charge::Over => Err(Code::RateExceeded),
+        Charge::OverRate => Err(Code::RateExceeded),
         Charge::Unavailable => Err(Code::RateUnavailable),
     }
 }
--- a/tests/rights/window.rs
+++ b/tests/rights/window.rs
@@ -187,7 +187,7 @@
                 let (owner, right) = &mut self.owners[number];
                 let reply = match now < right.until {
                     true => owner.ask(now, *right, &self.team, &ask),
-                    false => Reply::Elsewhere(None),
+                    false => Reply::NotOwner(None),
                 };
                 let holder = ask.from.as_str()[1..].parse().expect("a number");
                 let from = ask.from.clone();
