--- a/src/process/directory.rs
+++ b/src/process/directory.rs
@@ -36,7 +36,7 @@
 };
 
 /// How the names of all records begin.
-pub const PREFIX: &str = "bluebellswitch/nodes/";
+pub const RECORD_PREFIX: &str = "bluebellswitch/nodes/";
 
 /// How long a record outlives its last renewal. Longer than
 /// [`CONFIRMED`], so that whoever still counts itself a member is one for all.
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A member is there, or has changed.
-    Present(Peer),
+    Updated(Peer),
     /// A member is gone.
-    Gone(Instance),
+    Removed(Instance),
 }
 
 /// What a call to the store was for.
@@ -238,7 +238,7 @@
     /// A node that is killed and comes back within the time of its lease finds
     /// the record of its former life and replaces it. The others saw no gap in
     /// between, so they count it from its first moment on.
-    pub fn member_for(&self, now: Time) -> Option<Span> {
+    pub fn membership_age(&self, now: Time) -> Option<Span> {
         let confirmed = self.registration.confirmed?;
         let counted = self.registration.counted?;
         (now.since(confirmed) <= CONFIRMED && !self.leaving).then(|| match counted {
@@ -248,7 +248,7 @@
     }
 
     /// Whether the others have been listed at least once.
-    pub fn is_listed(&self) -> bool {
+    pub fn has_listing(&self) -> bool {
         self.listing.after.is_some() || !self.listing.members.is_empty()
     }
 
@@ -256,7 +256,7 @@
     /// of all others are certain. In the past when it may not.
     pub fn minting_until(&self, now: Time) -> Time {
         let joined = self
-            .member_for(now)
+            .membership_age(now)
             .is_some_and(|span| span >= bank::JOIN_DELAY);
         match (self.registration.confirmed, self.listing.viewed) {
             (Some(confirmed), Some(viewed)) if joined => {
@@ -281,11 +281,11 @@
     /// A newcomer does not mint before [`bank::JOIN_DELAY`]; taking it for a server
     /// earlier would leave its part of each rate to nobody. A node whose record has
     /// lapsed mints nothing, although it stays a member for [`GRACE`].
-    pub fn counted(&self, now: Time) -> Vec<&Peer> {
+    pub fn token_server_candidates(&self, now: Time) -> Vec<&Peer> {
         let listing = &self.listing;
         let me = &self.me.instance;
         let joined = self
-            .member_for(now)
+            .membership_age(now)
             .is_some_and(|span| span >= bank::JOIN_DELAY);
         let is_counted = |name: &Instance| match name == me {
             true => joined,
@@ -321,7 +321,7 @@
         }
         if self.listing.task.due() <= now && !self.leaving {
             self.listing.task.begin(now);
-            calls.push((Purpose::Watch, question(self.listing.after)));
+            calls.push((Purpose::Watch, watch_call(self.listing.after)));
         }
         self.listing.bury(now)
     }
@@ -360,10 +360,10 @@
     }
 
     /// Takes an answer, and tells what changed.
-    pub fn answer(&mut self, now: Time, purpose: Purpose, answer: Answer) -> Vec<Change> {
+    pub fn handle_answer(&mut self, now: Time, purpose: Purpose, answer: Answer) -> Vec<Change> {
         match purpose {
             Purpose::Register => {
-                self.registration.answer(now, answer, self.leaving);
+                self.registration.handle_answer(now, answer, self.leaving);
                 let written = self.registration.written.as_ref();
                 if !self.registration.task.is_failing() && written.is_some_and(|w| *w != self.me) {
                     self.hurry(now);
@@ -371,7 +371,7 @@
                 Vec::new()
             }
             Purpose::Watch => {
-                let changes = self.listing.answer(now, answer);
+                let changes = self.listing.handle_answer(now, answer);
                 self.check_own(now);
                 changes
             }
@@ -380,9 +380,9 @@
 
     /// Takes what another node says that the store would have answered, and when
     /// that was certainly so.
-    pub fn told(&mut self, now: Time, confirmed: Time, answer: Answer) -> Vec<Change> {
+    pub fn handle_relayed(&mut self, now: Time, confirmed: Time, answer: Answer) -> Vec<Change> {
         self.listing.task.sent = confirmed;
-        self.answer(now, Purpose::Watch, answer)
+        self.handle_answer(now, Purpose::Watch, answer)
     }
 
     /// The own record is there for the others. A lost write of an earlier life
@@ -407,7 +407,7 @@
 /// new life would then be the lower one: the others would take its record for an
 /// old one, address every request to the life that is gone, and the instance
 /// would get no work until its clock had passed the old place.
-pub async fn former_life(store: &dyn Store, instance: &Instance) -> Option<Incarnation> {
+pub async fn previous_incarnation(store: &dyn Store, instance: &Instance) -> Option<Incarnation> {
     let key = record_key(instance);
     let asked = store.call(Call::Get { key });
     let answer = tokio::time::timeout(FORMER.to_std(), asked).await;
@@ -418,17 +418,17 @@
 }
 
 /// The question to the store for what has changed since a revision.
-pub fn question(after: Option<Revision>) -> Call {
-    Call::changes(PREFIX, after, WAIT)
+pub fn watch_call(after: Option<Revision>) -> Call {
+    Call::changes(RECORD_PREFIX, after, WAIT)
 }
 
 fn record_key(instance: &Instance) -> String {
-    format!("{PREFIX}{instance}")
+    format!("{RECORD_PREFIX}{instance}")
 }
 
 /// A record, if it can be read and stands under its own name.
 fn peer(key: &str, value: &str) -> Option<Peer> {
     let peer: Peer = serde_json::from_str(value).ok()?;
-    let name = key.strip_prefix(PREFIX)?;
+    let name = key.strip_prefix(RECORD_PREFIX)?;
     (peer.instance.as_str() == name).then_some(peer)
 }
--- a/src/process/directory/listing.rs
+++ b/src/process/directory/listing.rs
@@ -4,7 +4,7 @@
     Change,
     GRACE,
     Listing,
-    PREFIX,
+    RECORD_PREFIX,
     SETTLE,
     peer, //
 };
@@ -19,7 +19,7 @@
 };
 
 impl Listing {
-    pub(super) fn answer(&mut self, now: Time, answer: Answer) -> Vec<Change> {
+    pub(super) fn handle_answer(&mut self, now: Time, answer: Answer) -> Vec<Change> {
         match answer {
             Answer::Listing { entries, at } => {
                 let former = self.viewed;
@@ -81,7 +81,9 @@
     }
 
     pub(super) fn lapse(&mut self, now: Time, key: &str) {
-        let name = key.strip_prefix(PREFIX).and_then(|name| name.parse().ok());
+        let name = key
+            .strip_prefix(RECORD_PREFIX)
+            .and_then(|name| name.parse().ok());
         if let Some(name) = name
             && self.members.contains_key(&name)
         {
@@ -106,7 +108,7 @@
             return None;
         }
         self.members.insert(peer.instance.clone(), peer.clone());
-        Some(Change::Present(peer))
+        Some(Change::Updated(peer))
     }
 
     /// Takes out members whose record has been gone for long enough. One that
@@ -128,7 +130,7 @@
                 self.lapsed.remove(&name);
                 self.joined.remove(&name);
                 self.members.remove(&name);
-                Change::Gone(name)
+                Change::Removed(name)
             })
             .collect()
     }
--- a/src/process/directory/registration.rs
+++ b/src/process/directory/registration.rs
@@ -17,7 +17,7 @@
 };
 
 impl Registration {
-    pub(super) fn answer(&mut self, now: Time, answer: Answer, leaving: bool) {
+    pub(super) fn handle_answer(&mut self, now: Time, answer: Answer, leaving: bool) {
         let sent = self.task.sent;
         let writing = self.writing.take();
         if leaving {
--- a/src/process/feed.rs
+++ b/src/process/feed.rs
@@ -280,24 +280,30 @@
 
 impl Watcher {
     /// Whether others rely on this node to watch the store.
-    pub fn is_asked(&self, now: Time) -> bool {
+    pub fn has_recent_questions(&self, now: Time) -> bool {
         self.asked
             .is_some_and(|at| now.since(at) < WATCH_AFTER_QUESTION)
     }
 
     /// Whether a topic is known from the store itself.
-    pub fn knows(&self, topic: Topic) -> bool {
+    pub fn has_topic(&self, topic: Topic) -> bool {
         self.logs.contains_key(&topic)
     }
 
     /// Forgets the store's answers, which others now follow.
-    pub fn rest(&mut self) {
+    pub fn clear(&mut self) {
         self.logs.clear();
     }
 
     /// Notes what the store answered to a question, when that was sent and after
     /// which revision it asked.
-    pub fn note(&mut self, topic: Topic, sent: Time, after: Option<Revision>, answer: &Answer) {
+    pub fn record_answer(
+        &mut self,
+        topic: Topic,
+        sent: Time,
+        after: Option<Revision>,
+        answer: &Answer,
+    ) {
         match answer {
             Answer::Listing { entries, at } => {
                 let known = self.logs.get(&topic);
@@ -323,8 +329,8 @@
         }
     }
 
-    /// Takes a question, to be answered by [`Watcher::replies`].
-    pub fn ask(
+    /// Takes a question, to be answered by [`Watcher::take_replies`].
+    pub fn handle_question(
         &mut self,
         now: Time,
         from: Instance,
@@ -342,7 +348,7 @@
     }
 
     /// Answers to questions for which there is news, or that were held for long.
-    pub fn replies(&mut self, now: Time, me: &Instance) -> Vec<(Instance, Message)> {
+    pub fn take_replies(&mut self, now: Time, me: &Instance) -> Vec<(Instance, Message)> {
         let logs = &self.logs;
         let has_news = |held: &Held| {
             let mut topics = held.after.iter();
@@ -393,17 +399,17 @@
     /// What the store would have answered.
     pub answer: Answer,
     /// By this node's clock.
-    pub confirmed: Time,
+    pub confirmed_at: Time,
 }
 
 impl Subscriber {
     /// Wants to know what is new after a revision.
-    pub fn want(&mut self, topic: Topic, after: Option<Revision>) {
+    pub fn request(&mut self, topic: Topic, after: Option<Revision>) {
         self.wanted.insert(topic, after);
     }
 
     /// What was wanted and is not known yet, to be asked elsewhere.
-    pub fn give_up(&mut self) -> BTreeMap<Topic, Option<Revision>> {
+    pub fn take_requests(&mut self) -> BTreeMap<Topic, Option<Revision>> {
         self.open = None;
         std::mem::take(&mut self.wanted)
     }
@@ -417,7 +423,7 @@
     }
 
     /// The first of these watchers that is worth asking.
-    pub fn choose<'a>(
+    pub fn choose_watcher<'a>(
         &self,
         now: Time,
         mut watchers: impl Iterator<Item = &'a Instance>,
@@ -430,7 +436,7 @@
     }
 
     /// Gives up a question without an answer.
-    pub fn expire(&mut self, now: Time) {
+    pub fn expire_question(&mut self, now: Time) {
         let late = |open: &mut Open| now.since(open.sent) >= ANSWER_TIMEOUT;
         if let Some(open) = self.open.take_if(late) {
             self.poor.insert(open.to, now);
@@ -438,7 +444,7 @@
     }
 
     /// A peer cannot be reached.
-    pub fn broken(&mut self, now: Time, peer: &Instance) {
+    pub fn peer_unreachable(&mut self, now: Time, peer: &Instance) {
         if self.open.take_if(|open| open.to == *peer).is_some() {
             self.poor.insert(peer.clone(), now);
         }
@@ -446,7 +452,7 @@
 
     /// Asks a watcher for what is wanted. A question for more takes the place of the
     /// one that is open.
-    pub fn ask(&mut self, now: Time, me: &Instance, to: &Instance) -> Option<Message> {
+    pub fn next_question(&mut self, now: Time, me: &Instance, to: &Instance) -> Option<Message> {
         let asked = self.open.as_ref().map_or(0, |open| open.topics);
         if self.wanted.len() <= asked {
             return None;
@@ -466,7 +472,7 @@
     }
 
     /// Takes a reply.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         now: Time,
         number: u64,
@@ -490,7 +496,7 @@
                 words.push(Update {
                     topic,
                     answer,
-                    confirmed: Time::from_ms(answered.as_ms() - age),
+                    confirmed_at: Time::from_ms(answered.as_ms() - age),
                 });
             }
         }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -259,16 +259,16 @@
                     let number = self.ask(Asker::Listed, call, out);
                     listed.asked.insert(number, Task::Register);
                 }
-                Purpose::Watch => listed.subscriber.want(Topic::Members, call.after()),
+                Purpose::Watch => listed.subscriber.request(Topic::Members, call.after()),
             }
         }
         listed.begun.get_or_insert(now);
         // Members come first: they tell whom to ask for the rest.
-        if listed.directory.is_listed()
+        if listed.directory.has_listing()
             && let Some(call) = listed.follower.tick(now)
         {
             let topic = Topic::Configuration;
-            listed.subscriber.want(topic, call.after());
+            listed.subscriber.request(topic, call.after());
         }
         self.inquire(now, &mut listed, out);
         for (peer, away) in &mut listed.away {
@@ -306,7 +306,7 @@
         let bounds = listed.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.counted(now));
+            bank.adopt(now, until, &listed.directory.token_server_candidates(now));
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
@@ -332,13 +332,15 @@
         };
         match listed.asked.remove(&number) {
             Some(Task::Register) => {
-                listed.directory.answer(now, Purpose::Register, answer);
+                listed
+                    .directory
+                    .handle_answer(now, Purpose::Register, answer);
             }
             Some(Task::Follow { topic, after, sent }) => {
-                listed.watcher.note(topic, sent, after, &answer);
+                listed.watcher.record_answer(topic, sent, after, &answer);
                 match topic {
                     Topic::Members => {
-                        let changes = listed.directory.answer(now, Purpose::Watch, answer);
+                        let changes = listed.directory.handle_answer(now, Purpose::Watch, answer);
                         self.listed_changes(now, changes, out);
                     }
                     Topic::Configuration => {
@@ -392,14 +394,14 @@
         }
         for change in changes {
             match change {
-                Change::Present(peer) if peer.instance == self.identity.peer.instance => {}
-                Change::Present(peer) => {
+                Change::Updated(peer) if peer.instance == self.identity.peer.instance => {}
+                Change::Updated(peer) => {
                     out.push(Action::Note(Note::Member(peer.clone())));
                     self.reached(&peer.instance);
                     self.members.insert(peer);
                 }
-                Change::Gone(name) if name == self.identity.peer.instance => {}
-                Change::Gone(name) => {
+                Change::Removed(name) if name == self.identity.peer.instance => {}
+                Change::Removed(name) => {
                     self.reached(&name);
                     self.members.remove(&name);
                     out.push(Action::Note(Note::Gone(name.clone())));
@@ -427,7 +429,7 @@
         let Some(listed) = &mut self.listed else {
             return;
         };
-        listed.subscriber.broken(now, peer);
+        listed.subscriber.peer_unreachable(now, peer);
         let Some(member) = self.members.get(peer).cloned() else {
             return;
         };
--- a/src/process/node/listed/inquiry.rs
+++ b/src/process/node/listed/inquiry.rs
@@ -33,25 +33,26 @@
     /// Asks a watcher of this domain for what is wanted to know, or else the store.
     pub(super) fn inquire(&mut self, now: Time, listed: &mut Listed, out: &mut Vec<Action>) {
         let me = &self.identity.peer.instance;
-        listed.subscriber.expire(now);
+        listed.subscriber.expire_question(now);
         let watchers = listed.watchers.iter();
-        let chosen = listed.subscriber.choose(now, watchers);
-        let chosen = chosen.filter(|chosen| *chosen != me && !listed.watcher.is_asked(now));
+        let chosen = listed.subscriber.choose_watcher(now, watchers);
+        let chosen =
+            chosen.filter(|chosen| *chosen != me && !listed.watcher.has_recent_questions(now));
         let chosen = chosen.cloned();
         if chosen != listed.source {
             out.push(Action::Note(Note::Source(chosen.clone())));
             listed.source.clone_from(&chosen);
         }
         if let Some(chosen) = chosen {
-            if let Some(question) = listed.subscriber.ask(now, me, &chosen) {
-                listed.watcher.rest();
+            if let Some(question) = listed.subscriber.next_question(now, me, &chosen) {
+                listed.watcher.clear();
                 out.push(control(chosen, Message::Feed(question)));
             }
         } else if !listed.is_early(now) {
-            for (topic, after) in listed.subscriber.give_up() {
-                let after = after.filter(|_| listed.watcher.knows(topic));
+            for (topic, after) in listed.subscriber.take_requests() {
+                let after = after.filter(|_| listed.watcher.has_topic(topic));
                 let call = match topic {
-                    Topic::Members => directory::question(after),
+                    Topic::Members => directory::watch_call(after),
                     Topic::Configuration => listed.follower.question(after),
                 };
                 let number = self.ask(Asker::Listed, call, out);
@@ -61,7 +62,7 @@
             }
         }
         let me = &self.identity.peer.instance;
-        for (to, reply) in listed.watcher.replies(now, me) {
+        for (to, reply) in listed.watcher.take_replies(now, me) {
             out.push(control(to, Message::Feed(reply)));
         }
     }
@@ -81,11 +82,11 @@
                 from,
                 number,
                 after,
-            } => listed.watcher.ask(now, from, number, after),
+            } => listed.watcher.handle_question(now, from, number, after),
             feed::Message::Reply {
                 number, held, news, ..
             } => {
-                for word in listed.subscriber.reply(now, number, held, news) {
+                for word in listed.subscriber.handle_reply(now, number, held, news) {
                     self.told(now, word, out);
                 }
             }
@@ -100,11 +101,13 @@
         };
         match word.topic {
             Topic::Members => {
-                let changes = listed.directory.told(now, word.confirmed, word.answer);
+                let changes = listed
+                    .directory
+                    .handle_relayed(now, word.confirmed_at, word.answer);
                 self.listed_changes(now, changes, out);
             }
             Topic::Configuration => {
-                let news = listed.follower.told(now, word.confirmed, word.answer);
+                let news = listed.follower.told(now, word.confirmed_at, word.answer);
                 self.listed_news(now, news, out);
             }
         }
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -196,7 +196,7 @@
         let mut restarted = false;
         if interface.configuration.is_some()
             && let Some(store) = &store
-            && let Some(former) = directory::former_life(&**store, &me.instance).await
+            && let Some(former) = directory::previous_incarnation(&**store, &me.instance).await
         {
             me.incarnation = me.incarnation.max(id::Incarnation(former.0 + 1));
             restarted = true;
--- a/tests/fleet/directory.rs
+++ b/tests/fleet/directory.rs
@@ -8,8 +8,8 @@
     directory::{
         Change,
         Directory,
-        PREFIX,
         Purpose, //
+        RECORD_PREFIX,
     },
     id::{
         Incarnation,
@@ -45,7 +45,7 @@
 
 fn entry(peer: &Peer) -> Entry {
     Entry {
-        key: format!("{PREFIX}{}", peer.instance),
+        key: format!("{RECORD_PREFIX}{}", peer.instance),
         value: serde_json::to_string(peer).expect("text"),
         revision: Revision(1),
     }
@@ -60,7 +60,7 @@
 
 fn gone(name: &str) -> Answer {
     let change = store::Change {
-        key: format!("{PREFIX}{name}"),
+        key: format!("{RECORD_PREFIX}{name}"),
         entry: None,
     };
     Answer::Changes {
@@ -90,7 +90,7 @@
     }
 
     fn answer(&mut self, purpose: Purpose, answer: Answer) -> Vec<Change> {
-        self.directory.answer(self.now, purpose, answer)
+        self.directory.handle_answer(self.now, purpose, answer)
     }
 
     /// The store renews the lease.
@@ -117,15 +117,15 @@
 #[test]
 fn a_member_is_one_for_as_long_as_its_record_certainly_lives() {
     let mut story = Story::new();
-    assert_eq!(story.directory.member_for(story.now), None);
+    assert_eq!(story.directory.membership_age(story.now), None);
     story.register();
     story.now += Span::from_secs(4);
     assert_eq!(
-        story.directory.member_for(story.now),
+        story.directory.membership_age(story.now),
         Some(Span::from_secs(4))
     );
     story.now += Span::from_ms(1);
-    assert_eq!(story.directory.member_for(story.now), None);
+    assert_eq!(story.directory.membership_age(story.now), None);
 }
 
 /// The store was away and all leases lapsed. A record that vanishes is no death:
@@ -137,7 +137,7 @@
     let other = peer("other", 2);
     assert_eq!(
         story.answer(Purpose::Watch, listing(std::slice::from_ref(&other))),
-        [Change::Present(other.clone())]
+        [Change::Updated(other.clone())]
     );
     story.tick();
     assert!(story.answer(Purpose::Watch, gone("other")).is_empty());
@@ -149,7 +149,7 @@
     assert!(story.tick().1.is_empty());
     story.answer(Purpose::Watch, gone("other"));
     story.now += Span::from_secs(4);
-    assert_eq!(story.tick().1, [Change::Gone(other.instance)]);
+    assert_eq!(story.tick().1, [Change::Removed(other.instance)]);
 }
 
 /// A write of a former life was lost, and takes effect seconds later, over the
@@ -183,7 +183,7 @@
             .any(|(_, call)| matches!(call, Call::Renew { .. }))
     );
     story.answer(Purpose::Register, Answer::Expired);
-    assert_eq!(story.directory.member_for(story.now), None);
+    assert_eq!(story.directory.membership_age(story.now), None);
     let (calls, _) = story.tick();
     assert!(
         calls
@@ -213,15 +213,15 @@
     let mut former = entry(&peer("me", 4));
     former.revision = Revision(6);
     story.answer(Purpose::Register, Answer::Conflict(Some(former)));
-    assert_eq!(story.directory.member_for(story.now), None);
+    assert_eq!(story.directory.membership_age(story.now), None);
     assert_eq!(swap(&story.tick().0), Some(Revision(6)));
     story.answer(Purpose::Register, Answer::Swapped(Revision(8)));
-    assert_eq!(story.directory.member_for(story.now), Some(Span::MAX));
+    assert_eq!(story.directory.membership_age(story.now), Some(Span::MAX));
     // A lease that ends afterwards is a gap like any other.
     story.now += Span::from_secs(2);
     story.tick();
     story.answer(Purpose::Register, Answer::Expired);
-    assert_eq!(story.directory.member_for(story.now), None);
+    assert_eq!(story.directory.membership_age(story.now), None);
 }
 
 /// The first write took effect and its answer was lost. The next try meets the
@@ -244,7 +244,7 @@
         .any(|(_, call)| matches!(call, Call::Put { .. }));
     assert!(writes, "{calls:?}");
     story.answer(Purpose::Register, Answer::Swapped(Revision(3)));
-    assert_eq!(story.directory.member_for(story.now), Some(Span::ZERO));
+    assert_eq!(story.directory.membership_age(story.now), Some(Span::ZERO));
 }
 
 /// A node that stops takes its own record away. For four more seconds the others
@@ -258,11 +258,11 @@
     story.answer(Purpose::Watch, listing(std::slice::from_ref(&other)));
     story.tick();
     story.answer(Purpose::Watch, gone("other"));
-    assert_eq!(story.tick().1, [Change::Gone(other.instance)]);
+    assert_eq!(story.tick().1, [Change::Removed(other.instance)]);
 }
 
 fn counted(story: &Story) -> Vec<String> {
-    let counted = story.directory.counted(story.now);
+    let counted = story.directory.token_server_candidates(story.now);
     counted
         .iter()
         .map(|peer| peer.instance.to_string())
@@ -294,7 +294,7 @@
     let (lease, ttl) = (Lease(7), Span::from_secs(6));
     story.answer(Purpose::Register, Answer::Leased { lease, ttl });
     assert_eq!(
-        story.directory.member_for(story.now),
+        story.directory.membership_age(story.now),
         None,
         "it has no record"
     );
--- a/tests/fleet/feed.rs
+++ b/tests/fleet/feed.rs
@@ -95,25 +95,26 @@
     /// The store answers a question that the watcher sent just now.
     fn store(&mut self, after: Option<u64>, answer: &Answer) {
         let after = after.map(Revision);
-        self.watcher.note(Topic::Members, self.now, after, answer);
+        self.watcher
+            .record_answer(Topic::Members, self.now, after, answer);
     }
 
     fn ask(&mut self, after: Option<u64>) {
         let (me, watcher) = (name("asker"), name("watcher"));
-        self.subscriber.want(Topic::Members, after.map(Revision));
+        self.subscriber.request(Topic::Members, after.map(Revision));
         if let Some(Message::Question {
             from,
             number,
             after,
-        }) = self.subscriber.ask(self.now, &me, &watcher)
+        }) = self.subscriber.next_question(self.now, &me, &watcher)
         {
-            self.watcher.ask(self.now, from, number, after);
+            self.watcher.handle_question(self.now, from, number, after);
         }
     }
 
     /// The watcher's reply, if it has one now.
     fn reply(&mut self) -> Option<(u64, Span, BTreeMap<Topic, News>)> {
-        let mut replies = self.watcher.replies(self.now, &name("watcher"));
+        let mut replies = self.watcher.take_replies(self.now, &name("watcher"));
         match replies.pop()? {
             (
                 _,
@@ -128,13 +129,15 @@
     fn hear(&mut self) -> Vec<Update> {
         let reply = self.reply();
         reply.map_or(Vec::new(), |(number, held, news)| {
-            self.subscriber.reply(self.now, number, held, news)
+            self.subscriber.handle_reply(self.now, number, held, news)
         })
     }
 
     fn is_chosen(&self) -> bool {
         let watchers = [name("watcher")];
-        self.subscriber.choose(self.now, watchers.iter()).is_some()
+        self.subscriber
+            .choose_watcher(self.now, watchers.iter())
+            .is_some()
     }
 }
 
@@ -162,8 +165,8 @@
         pair.now += Span::from_ms(400);
         let (number, held, news) = pair.reply().expect("a reply");
         pair.now += Span::from_ms(delay);
-        let words = pair.subscriber.reply(pair.now, number, held, news);
-        assert_eq!(words[0].confirmed, START, "after {delay} ms");
+        let words = pair.subscriber.handle_reply(pair.now, number, held, news);
+        assert_eq!(words[0].confirmed_at, START, "after {delay} ms");
     }
 }
 
@@ -174,7 +177,7 @@
     let mut pair = Pair::new();
     pair.store(None, &listing(&["a"], 5));
     pair.store(Some(8), &changed("c", 9));
-    assert!(!pair.watcher.knows(Topic::Members));
+    assert!(!pair.watcher.has_topic(Topic::Members));
     pair.ask(Some(5));
     pair.now += Span::from_ms(400);
     assert!(pair.hear().is_empty(), "it knows nothing certain");
@@ -211,9 +214,9 @@
     pair.ask(Some(5));
     assert!(pair.is_chosen());
     pair.now += Span::from_ms(1000);
-    pair.subscriber.expire(pair.now);
+    pair.subscriber.expire_question(pair.now);
     assert!(!pair.is_chosen());
-    let wanted = pair.subscriber.give_up();
+    let wanted = pair.subscriber.take_requests();
     assert_eq!(wanted[&Topic::Members], Some(Revision(5)));
     pair.now += Span::from_secs(2);
     assert!(pair.is_chosen());
@@ -228,7 +231,7 @@
     pair.now += Span::from_secs(3);
     pair.ask(Some(5));
     pair.now += Span::from_ms(400);
-    assert_eq!(pair.hear()[0].confirmed, START);
+    assert_eq!(pair.hear()[0].confirmed_at, START);
     assert!(!pair.is_chosen());
 }
 
@@ -238,9 +241,9 @@
 fn a_watcher_that_nobody_asks_rests() {
     let mut pair = Pair::new();
     pair.ask(Some(5));
-    assert!(pair.watcher.is_asked(pair.now));
+    assert!(pair.watcher.has_recent_questions(pair.now));
     pair.now += Span::from_secs(3);
-    assert!(!pair.watcher.is_asked(pair.now));
+    assert!(!pair.watcher.has_recent_questions(pair.now));
 }
 
 /// Guards against a second topic that waits until the question for the first one
@@ -253,8 +256,8 @@
     let configuration = listing(&["operator"], 6);
     let now = pair.now;
     pair.watcher
-        .note(Topic::Configuration, now, None, &configuration);
-    pair.subscriber.want(Topic::Configuration, None);
+        .record_answer(Topic::Configuration, now, None, &configuration);
+    pair.subscriber.request(Topic::Configuration, None);
     pair.ask(Some(5));
     let topics: Vec<_> = pair.hear().into_iter().map(|word| word.topic).collect();
     assert_eq!(topics, [Topic::Members, Topic::Configuration]);
@@ -287,7 +290,7 @@
     let (number, held, news) = pair.reply().expect("a reply");
     let bytes: usize = news[&Topic::Members].packed.values().map(|v| v.len()).sum();
     assert!(bytes < 20_000, "{bytes} bytes");
-    let words = pair.subscriber.reply(pair.now, number, held, news);
+    let words = pair.subscriber.handle_reply(pair.now, number, held, news);
     let Answer::Changes { changes, at } = &words[0].answer else {
         panic!("no changes");
     };
