--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -30,17 +30,17 @@
 pub use self::{
     agent::{
         Agent,
-        Send, //
+        Outgoing, //
     },
     seed::{
-        Role,
         SEEDS,
-        Seeder, //
+        SeedClient, //
+        SeedRole,
     },
     table::{
         Merge,
         Table,
-        ranked, //
+        rank_by_rendezvous, //
     },
     wire::{
         Card,
@@ -51,8 +51,8 @@
 };
 pub(crate) use self::{
     exchange::digest,
-    seed::backoff,
-    table::tag, //
+    seed::backoff_with_jitter,
+    table::incarnation_tag, //
 };
 use crate::id::{
     Domain,
--- a/src/process/member/agent.rs
+++ b/src/process/member/agent.rs
@@ -57,7 +57,7 @@
 
 /// A message to be sent, before the news is added.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Outgoing {
     /// Where to.
     pub to: SocketAddr,
     /// What for.
@@ -107,7 +107,7 @@
     /// Adds addresses of nodes that may be there: from the settings, or from
     /// the store. They are kept for the life of the node, so that a store
     /// outage stops no join as long as one of them answers.
-    pub fn seed(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if !self.seeds.contains(&address) {
                 self.seeds.push(address);
@@ -123,7 +123,7 @@
 
     /// Sends gossip for some rounds even without changes of members, because
     /// there is other news.
-    pub fn wake(&mut self, members: usize) {
+    pub fn schedule_gossip(&mut self, members: usize) {
         self.rounds = gossip::transmissions(members).div_ceil(FANOUT as u32) + 1;
     }
 
@@ -140,7 +140,7 @@
     /// Notes that time has passed, before any event is handled. True when the
     /// node was paused: what it knew of others is then old, and answers that
     /// it waited for may have been lost here.
-    pub fn pass(&mut self, now: Time, table: &mut Table) -> bool {
+    pub fn observe_time(&mut self, now: Time, table: &mut Table) -> bool {
         let paused = self.began.is_some() && now.since(self.last) >= PAUSE;
         self.began.get_or_insert(now);
         self.last = now;
@@ -159,7 +159,7 @@
         now: Time,
         table: &mut Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         self.judge(now, table, rng, out);
         self.probe(now, table, rng, out);
@@ -170,14 +170,14 @@
 
     /// Takes one message in and answers it. True when it answers a question of
     /// this node that still waited.
-    pub fn hear(
+    pub fn handle_message(
         &mut self,
         now: Time,
         from: SocketAddr,
         message: super::Message,
         table: &mut Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) -> bool {
         let spread = message.kind != Kind::Page;
         for update in &message.updates {
@@ -201,8 +201,8 @@
                 if mask != 0 {
                     let entries = ByteBuf::from(entries);
                     let kind = Kind::Differ { mask, entries };
-                    let updates = table.update(now, &self.me).into_iter().collect();
-                    out.push(Send {
+                    let updates = table.update_for(now, &self.me).into_iter().collect();
+                    out.push(Outgoing {
                         to: from,
                         kind,
                         updates,
@@ -214,7 +214,7 @@
                 let (updates, hashes) = exchange::compare(now, table, mask, &entries);
                 if !hashes.is_empty() {
                     let hashes = ByteBuf::from(hashes);
-                    out.push(Send {
+                    out.push(Outgoing {
                         to: from,
                         kind: Kind::Want { hashes },
                         updates: Vec::new(),
@@ -228,7 +228,13 @@
     }
 
     /// A link to a member broke: it gets no new work until it answers a probe.
-    pub fn broken(&mut self, now: Time, peer: &Instance, table: &mut Table, out: &mut Vec<Send>) {
+    pub fn link_broken(
+        &mut self,
+        now: Time,
+        peer: &Instance,
+        table: &mut Table,
+        out: &mut Vec<Outgoing>,
+    ) {
         if *peer == self.me {
             return;
         }
@@ -237,14 +243,14 @@
     }
 
     /// Tells a few members directly that this node is gone, as its last act.
-    pub fn farewell(
+    pub fn announce_departure(
         &mut self,
         now: Time,
         table: &mut Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
-        let Some(update) = table.update(now, &self.me) else {
+        let Some(update) = table.update_for(now, &self.me) else {
             return;
         };
         let gone = Update {
@@ -253,7 +259,7 @@
             ..update
         };
         for to in self.targets(table, rng, FANOUT * 2) {
-            out.push(Send {
+            out.push(Outgoing {
                 to,
                 kind: Kind::Gossip,
                 updates: vec![gone.clone()],
@@ -279,7 +285,9 @@
         let Some(me) = table.get(&self.me).cloned() else {
             return;
         };
-        let ours = table.update(now, &self.me).map_or(0, |own| own.revision);
+        let ours = table
+            .update_for(now, &self.me)
+            .map_or(0, |own| own.revision);
         let same = update.incarnation == me.incarnation;
         let wrong = update.status != me.status && update.revision >= ours;
         if same && (wrong || update.revision > ours) {
@@ -295,14 +303,14 @@
         number: u32,
         tag: u32,
         table: &mut Table,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         let Some(me) = table.get(&self.me) else {
             return;
         };
-        let own = table::tag(&me.instance, me.incarnation);
+        let own = table::incarnation_tag(&me.instance, me.incarnation);
         let kind = Kind::Ack { number, tag: own };
-        let asker = table.at(from);
+        let asker = table.by_datagram_address(from);
         if own == tag && asker.is_some_and(|peer| peer.status == Status::Alive) {
             self.send(from, kind, table, out);
             return;
@@ -313,15 +321,17 @@
         let asker = asker.map(|peer| peer.instance.clone());
         let names = [Some(self.me.clone()), asker];
         let updates = names.iter().flatten();
-        let updates = updates.filter_map(|name| table.update(now, name)).collect();
-        out.push(Send {
+        let updates = updates
+            .filter_map(|name| table.update_for(now, name))
+            .collect();
+        out.push(Outgoing {
             to: from,
             kind,
             updates,
         });
     }
 
-    fn ack(&mut self, number: u32, tag: u32, table: &mut Table, out: &mut Vec<Send>) -> bool {
+    fn ack(&mut self, number: u32, tag: u32, table: &mut Table, out: &mut Vec<Outgoing>) -> bool {
         if let Some(relay) = self.prober.relayed(number) {
             let number = relay.number;
             self.send(relay.origin, Kind::Ack { number, tag }, table, out);
@@ -334,7 +344,13 @@
         answered.is_some()
     }
 
-    fn judge(&mut self, now: Time, table: &mut Table, rng: &mut ChaCha8Rng, out: &mut Vec<Send>) {
+    fn judge(
+        &mut self,
+        now: Time,
+        table: &mut Table,
+        rng: &mut ChaCha8Rng,
+        out: &mut Vec<Outgoing>,
+    ) {
         let due = self.prober.due(now);
         for (number, pending) in due.help {
             self.help(number, &pending, table, rng, out);
@@ -364,7 +380,7 @@
         pending: &probe::Pending,
         table: &Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         let there = table.get(&pending.target);
         let there = there.filter(|peer| peer.status != Status::Dead);
@@ -385,7 +401,7 @@
                 tag: pending.tag,
                 target,
             };
-            out.push(Send {
+            out.push(Outgoing {
                 to,
                 kind,
                 updates: Vec::new(),
@@ -394,10 +410,10 @@
     }
 
     fn suspect(&mut self, now: Time, pending: &probe::Pending, table: &mut Table) {
-        let Some(update) = table.update(now, &pending.target) else {
+        let Some(update) = table.update_for(now, &pending.target) else {
             return;
         };
-        let same = table::tag(&update.instance, update.incarnation) == pending.tag;
+        let same = table::incarnation_tag(&update.instance, update.incarnation) == pending.tag;
         let status = match update.status {
             Status::Alive => Status::Suspect,
             // It has said that it would go, and now it is silent.
@@ -414,7 +430,7 @@
         }
     }
 
-    fn probe(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Send>) {
+    fn probe(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Outgoing>) {
         let Some(me) = table.get(&self.me) else {
             return;
         };
@@ -423,7 +439,9 @@
         }
         if std::mem::take(&mut self.woken) {
             for address in self.targets(table, rng, FANOUT) {
-                let target = table.at(address).map(|peer| peer.instance.clone());
+                let target = table
+                    .by_datagram_address(address)
+                    .map(|peer| peer.instance.clone());
                 target
                     .into_iter()
                     .for_each(|target| self.ask(now, &target, table, out));
@@ -433,7 +451,7 @@
 
     /// Probes a dead member now and then, so that the end of a partition or of
     /// a pause is seen within seconds, by one of all who took it for dead.
-    fn knock(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Send>) {
+    fn knock(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Outgoing>) {
         if now < self.next_knock {
             return;
         }
@@ -448,7 +466,7 @@
         }
     }
 
-    fn ask(&mut self, now: Time, target: &Instance, table: &Table, out: &mut Vec<Send>) {
+    fn ask(&mut self, now: Time, target: &Instance, table: &Table, out: &mut Vec<Outgoing>) {
         let Some(peer) = table.get(target) else {
             return;
         };
@@ -456,12 +474,12 @@
         let mut updates = self.queue.take(BUDGET, table.len());
         // It must hear what is believed of it, to be able to refute.
         if matches!(peer.status, Status::Suspect | Status::Dead) {
-            updates.extend(table.update(now, target).map(|update| Update {
+            updates.extend(table.update_for(now, target).map(|update| Update {
                 card: None,
                 ..update
             }));
         }
-        out.push(Send {
+        out.push(Outgoing {
             to: peer.datagram,
             kind: Kind::Ping { number, tag },
             updates,
--- a/src/process/member/agent/round.rs
+++ b/src/process/member/agent/round.rs
@@ -22,7 +22,7 @@
         exchange, //
     },
     Agent,
-    Send, //
+    Outgoing, //
 };
 use crate::clock::{
     Span,
@@ -55,7 +55,7 @@
         now: Time,
         table: &Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         if now < self.next_round || self.is_quiet() {
             return;
@@ -80,7 +80,7 @@
         };
         let there = |peer: &&Peer| peer.status != Status::Dead && peer.instance != self.me;
         let address = |peer: &Peer| peer.datagram;
-        let home = table.domain(&me.domain).filter(there).map(address);
+        let home = table.in_domain(&me.domain).filter(there).map(address);
         let mut targets = home.sample(rng, count - 1);
         let abroad = table.iter().filter(there);
         let abroad = abroad.filter(|peer| peer.domain != me.domain).map(address);
@@ -93,7 +93,7 @@
         now: Time,
         table: &Table,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Outgoing>,
     ) {
         if now < self.next_exchange {
             return;
@@ -110,10 +110,10 @@
             true => self.lost(table, rng),
             false => self.targets(table, rng, 1 + self.exchanges as usize % 2),
         };
-        let own = table.update(now, &self.me);
+        let own = table.update_for(now, &self.me);
         for to in targets.into_iter().take(if alone { ASK } else { 1 }) {
             let buckets = ByteBuf::from(exchange::digest(table));
-            out.push(Send {
+            out.push(Outgoing {
                 to,
                 kind: Kind::Digest { buckets },
                 updates: own.clone().into_iter().collect(),
@@ -131,7 +131,8 @@
             .map(|peer| peer.datagram);
         let own = table.get(&self.me).map(|me| me.datagram);
         let strangers = self.seeds.iter().copied();
-        let strangers = strangers.filter(|seed| table.at(*seed).is_none() && Some(*seed) != own);
+        let strangers = strangers
+            .filter(|seed| table.by_datagram_address(*seed).is_none() && Some(*seed) != own);
         let lost: Vec<_> = dead.chain(strangers).collect();
         match lost.is_empty() {
             true => self.targets(table, rng, FANOUT),
@@ -149,15 +150,21 @@
         self.next_exchange = self.next_exchange.min(now + pause);
     }
 
-    pub(super) fn send(&mut self, to: SocketAddr, kind: Kind, table: &Table, out: &mut Vec<Send>) {
+    pub(super) fn send(
+        &mut self,
+        to: SocketAddr,
+        kind: Kind,
+        table: &Table,
+        out: &mut Vec<Outgoing>,
+    ) {
         let updates = self.queue.take(BUDGET, table.len());
-        out.push(Send { to, kind, updates });
+        out.push(Outgoing { to, kind, updates });
     }
 }
 
-pub(super) fn paged(to: SocketAddr, updates: Vec<Update>, out: &mut Vec<Send>) {
+pub(super) fn paged(to: SocketAddr, updates: Vec<Update>, out: &mut Vec<Outgoing>) {
     for updates in exchange::pages(updates) {
-        out.push(Send {
+        out.push(Outgoing {
             to,
             kind: Kind::Page,
             updates,
--- a/src/process/member/probe.rs
+++ b/src/process/member/probe.rs
@@ -116,7 +116,7 @@
                 true => names(table.iter().filter(|p| p.domain != me.domain)),
                 false => names(
                     table
-                        .domain(&me.domain)
+                        .in_domain(&me.domain)
                         .filter(|p| p.instance != me.instance),
                 ),
             };
@@ -133,7 +133,7 @@
     /// Notes a probe of a member, and returns its number and mark.
     pub(super) fn start(&mut self, now: Time, peer: &Peer) -> (u32, u32) {
         self.number = self.number.wrapping_add(1);
-        let tag = super::table::tag(&peer.instance, peer.incarnation);
+        let tag = super::table::incarnation_tag(&peer.instance, peer.incarnation);
         let pending = Pending {
             target: peer.instance.clone(),
             tag,
--- a/src/process/member/seed.rs
+++ b/src/process/member/seed.rs
@@ -39,13 +39,13 @@
 
 /// What this node is to the store's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Role {
+pub struct SeedRole {
     /// It is one of its domain's seeds.
-    pub seed: bool,
+    pub is_seed: bool,
     /// It looks at the list regularly.
-    pub reader: bool,
+    pub is_reader: bool,
     /// It knows no other member.
-    pub alone: bool,
+    pub is_alone: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 /// One node's entry in the list, and its view of it.
 #[derive(Clone, Debug, Default)]
-pub struct Seeder {
+pub struct SeedClient {
     waiting: Option<Step>,
     lease: Option<Lease>,
     written: bool,
@@ -70,9 +70,15 @@
     lost: u32,
 }
 
-impl Seeder {
+impl SeedClient {
     /// The call that is due, if any. One call is under way at a time.
-    pub fn tick(&mut self, now: Time, role: Role, me: &Peer, rng: &mut ChaCha8Rng) -> Option<Call> {
+    pub fn tick(
+        &mut self,
+        now: Time,
+        role: SeedRole,
+        me: &Peer,
+        rng: &mut ChaCha8Rng,
+    ) -> Option<Call> {
         if self.waiting.is_some() {
             return None;
         }
@@ -84,12 +90,12 @@
     fn due(
         &mut self,
         now: Time,
-        role: Role,
+        role: SeedRole,
         me: &Peer,
         rng: &mut ChaCha8Rng,
     ) -> Option<(Step, Call)> {
-        if now >= self.next_list && (role.alone || role.reader || !self.listed) {
-            let pause = match role.alone {
+        if now >= self.next_list && (role.is_alone || role.is_reader || !self.listed) {
+            let pause = match role.is_alone {
                 true => LONELY,
                 false => LIST,
             };
@@ -100,7 +106,7 @@
         if now < self.next_lease || !self.listed {
             return None;
         }
-        match (role.seed, self.lease) {
+        match (role.is_seed, self.lease) {
             (true, None) => Some((Step::Grant, Call::Grant { ttl: TTL })),
             (true, Some(lease)) if !self.written => {
                 Some((Step::Write(lease), self.write(me, lease)?))
@@ -122,7 +128,7 @@
     }
 
     /// Takes the answer in, and returns the members that the store names.
-    pub fn answer(&mut self, now: Time, answer: Answer, rng: &mut ChaCha8Rng) -> Vec<Peer> {
+    pub fn handle_answer(&mut self, now: Time, answer: Answer, rng: &mut ChaCha8Rng) -> Vec<Peer> {
         let Some(step) = self.waiting.take() else {
             return Vec::new();
         };
@@ -170,7 +176,7 @@
     }
 
     fn back_off(&mut self, now: Time, step: Step, rng: &mut ChaCha8Rng) {
-        let next = now + backoff(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
+        let next = now + backoff_with_jitter(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
         self.lost += 1;
         match step {
             Step::List => self.next_list = next,
@@ -180,7 +186,12 @@
 }
 
 /// A random wait whose bound doubles with each loss.
-pub(crate) fn backoff(lost: u32, first: Span, limit: Span, rng: &mut ChaCha8Rng) -> Span {
+pub(crate) fn backoff_with_jitter(
+    lost: u32,
+    first: Span,
+    limit: Span,
+    rng: &mut ChaCha8Rng,
+) -> Span {
     let bound = first.as_ms().saturating_mul(1 << lost.min(16));
     let bound = bound.clamp(first.as_ms(), limit.as_ms());
     Span::from_ms(rng.random_range(bound / 4..=bound))
--- a/src/process/member/table.rs
+++ b/src/process/member/table.rs
@@ -94,12 +94,12 @@
 
 impl Table {
     /// Sets the failure domains whose upstreams get nothing.
-    pub fn evacuate(&mut self, domains: BTreeSet<Domain>) {
+    pub fn set_evacuated_domains(&mut self, domains: BTreeSet<Domain>) {
         self.evacuated = domains;
     }
 
     /// Whether a member's upstream takes requests and may get some.
-    pub fn takes_work(&self, peer: &Peer) -> bool {
+    pub fn accepts_work(&self, peer: &Peer) -> bool {
         peer.ready && !self.evacuated.contains(&peer.domain)
     }
 
@@ -150,7 +150,7 @@
         let slots = self.pools.get(pool).map_or(&[][..], Vec::as_slice);
         let members = || {
             let members = slots.iter().filter_map(|slot| self.slots[*slot].as_ref());
-            members.filter(|member| self.takes_work(&member.peer))
+            members.filter(|member| self.accepts_work(&member.peer))
         };
         let panic = !members().any(Member::healthy);
         members()
@@ -162,19 +162,19 @@
     }
 
     /// How long the member's upstream has taken requests, for its ramp.
-    pub fn ready_for(&self, now: Time, instance: &Instance) -> Option<Span> {
+    pub fn ready_duration(&self, now: Time, instance: &Instance) -> Option<Span> {
         let member = self.member(instance)?;
         member.peer.ready.then(|| now.since(member.ready_since))
     }
 
     /// The member that sends from this address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Peer> {
+    pub fn by_datagram_address(&self, address: SocketAddr) -> Option<&Peer> {
         let slot = *self.addresses.get(&address)?;
         self.slots[slot].as_ref().map(|member| &member.peer)
     }
 
     /// The members of one failure domain, also suspected and dead ones.
-    pub fn domain<'a>(&'a self, domain: &Domain) -> impl Iterator<Item = &'a Peer> {
+    pub fn in_domain<'a>(&'a self, domain: &Domain) -> impl Iterator<Item = &'a Peer> {
         let slots = self.domains.get(domain).map_or(&[][..], Vec::as_slice);
         slots
             .iter()
@@ -199,7 +199,7 @@
 
     /// Members that went silent without saying that they would leave, and all
     /// that are expected to be there.
-    pub fn silent(&self, domain: &Domain) -> (usize, usize) {
+    pub fn count_silent(&self, domain: &Domain) -> (usize, usize) {
         let slots = self.domains.get(domain).map_or(&[][..], Vec::as_slice);
         let expected = slots
             .iter()
@@ -212,7 +212,7 @@
     }
 
     /// The record of a member, to be spread.
-    pub fn update(&self, now: Time, instance: &Instance) -> Option<Update> {
+    pub fn update_for(&self, now: Time, instance: &Instance) -> Option<Update> {
         self.member(instance).map(|member| member.update(now))
     }
 
@@ -488,13 +488,13 @@
 }
 
 /// A short mark of one life of a member.
-pub(crate) fn tag(instance: &Instance, incarnation: Incarnation) -> u32 {
+pub(crate) fn incarnation_tag(instance: &Instance, incarnation: Incarnation) -> u32 {
     xxh3_64_with_seed(instance.as_str().as_bytes(), incarnation.0) as u32
 }
 
 /// The first `count` members by rendezvous hashing for a purpose, best first.
 /// All nodes that know the same members choose the same.
-pub fn ranked<'a>(
+pub fn rank_by_rendezvous<'a>(
     peers: impl Iterator<Item = &'a Peer>,
     purpose: u64,
     count: usize,
--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -316,7 +316,7 @@
     /// Puts a configuration in force.
     pub fn adopt(&mut self, snapshot: document::Shared) {
         self.members
-            .evacuate(snapshot.evacuated().cloned().collect());
+            .set_evacuated_domains(snapshot.evacuated().cloned().collect());
         self.snapshot = snapshot;
     }
 
--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -47,8 +47,8 @@
         self,
         Agent,
         Kind,
-        Role,
-        Seeder,
+        SeedClient,
+        SeedRole,
         Status, //
     },
     message::Message,
@@ -82,7 +82,7 @@
     adopter: Adopter,
     watch: Watch,
     roster: Roster,
-    seeder: Seeder,
+    seeder: SeedClient,
     freshness: Freshness,
     asked: BTreeMap<u64, Purpose>,
     /// Watchers of the own domain, best first.
@@ -105,7 +105,7 @@
             adopter: Adopter::default(),
             watch: Watch::default(),
             roster: Roster::default(),
-            seeder: Seeder::default(),
+            seeder: SeedClient::default(),
             freshness: Freshness::default(),
             asked: BTreeMap::new(),
             watchers: Vec::new(),
@@ -123,7 +123,7 @@
 
 impl Core {
     pub(super) fn fleet_pass(&mut self, now: Time) {
-        if self.fleet.agent.pass(now, &mut self.members) {
+        if self.fleet.agent.observe_time(now, &mut self.members) {
             self.fleet.freshness.woke(now);
             self.fleet.judged = None;
         }
@@ -143,7 +143,7 @@
         let mut sends = Vec::new();
         self.fleet
             .agent
-            .broken(now, peer, &mut self.members, &mut sends);
+            .link_broken(now, peer, &mut self.members, &mut sends);
         self.post(now, sends, out);
     }
 
@@ -189,8 +189,8 @@
     fn choose(&mut self) {
         let me = &self.identity.peer;
         let there = |peer: &&member::Peer| peer.status == Status::Alive;
-        let home = self.members.domain(&me.domain).filter(there);
-        let best = member::ranked(home, CHOICE, SEEDS);
+        let home = self.members.in_domain(&me.domain).filter(there);
+        let best = member::rank_by_rendezvous(home, CHOICE, SEEDS);
         self.fleet.seed = best.iter().any(|peer| peer.instance == me.instance);
         self.fleet.watchers = best
             .into_iter()
@@ -201,8 +201,8 @@
 
     fn watchers(&self, domain: &Domain) -> Vec<Instance> {
         let there = |peer: &&member::Peer| peer.status == Status::Alive;
-        let members = self.members.domain(domain).filter(there);
-        let best = member::ranked(members, CHOICE, WATCHERS);
+        let members = self.members.in_domain(domain).filter(there);
+        let best = member::rank_by_rendezvous(members, CHOICE, WATCHERS);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
@@ -219,10 +219,10 @@
     fn fleet_ask(&mut self, now: Time, out: &mut Vec<Action>) {
         let fleet = &mut self.fleet;
         let me = self.identity.peer.instance.clone();
-        let role = Role {
-            seed: fleet.seed && fleet.leaving.is_none(),
-            reader: fleet.watchers.first() == Some(&me),
-            alone: self.members.len() < 2,
+        let role = SeedRole {
+            is_seed: fleet.seed && fleet.leaving.is_none(),
+            is_reader: fleet.watchers.first() == Some(&me),
+            is_alone: self.members.len() < 2,
         };
         if let Some(call) = fleet
             .seeder
@@ -265,9 +265,12 @@
         }
         self.fleet.gone = true;
         let mut sends = Vec::new();
-        self.fleet
-            .agent
-            .farewell(now, &mut self.members, &mut self.fleet.rng, &mut sends);
+        self.fleet.agent.announce_departure(
+            now,
+            &mut self.members,
+            &mut self.fleet.rng,
+            &mut sends,
+        );
         self.post(now, sends, out);
         true
     }
@@ -281,9 +284,12 @@
     ) {
         match self.fleet.asked.remove(&number) {
             Some(Purpose::Seed) => {
-                let peers = self.fleet.seeder.answer(now, answer, &mut self.fleet.rng);
+                let peers = self
+                    .fleet
+                    .seeder
+                    .handle_answer(now, answer, &mut self.fleet.rng);
                 let addresses = peers.into_iter().map(|peer| peer.datagram);
-                self.fleet.agent.seed(addresses);
+                self.fleet.agent.add_seeds(addresses);
             }
             Some(Purpose::Watch) => {
                 let outcome = self.fleet.watch.answer(now, answer, &mut self.fleet.rng);
@@ -324,7 +330,7 @@
             return;
         };
         self.adopt(snapshot);
-        self.fleet.agent.wake(self.members.len());
+        self.fleet.agent.schedule_gossip(self.members.len());
         self.fleet.roster.adopted(now);
         self.confirm(now, out);
     }
@@ -359,7 +365,7 @@
     ) {
         let news = message.news.clone();
         let mut sends = Vec::new();
-        let answered = self.fleet.agent.hear(
+        let answered = self.fleet.agent.handle_message(
             now,
             from,
             message,
@@ -368,7 +374,7 @@
             &mut sends,
         );
         self.post(now, sends, out);
-        let Some(peer) = self.members.at(from) else {
+        let Some(peer) = self.members.by_datagram_address(from) else {
             return;
         };
         let (instance, domain) = (peer.instance.clone(), peer.domain.clone());
@@ -427,7 +433,7 @@
     }
 
     /// Adds the news to messages of the membership protocol.
-    fn post(&mut self, now: Time, sends: Vec<member::Send>, out: &mut Vec<Action>) {
+    fn post(&mut self, now: Time, sends: Vec<member::Outgoing>, out: &mut Vec<Action>) {
         let version = self.fleet.adopter.version();
         for send in sends {
             let domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -32,7 +32,7 @@
 
     /// Adds addresses of other nodes, from the settings.
     pub fn seed(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        self.fleet.agent.seed(addresses);
+        self.fleet.agent.add_seeds(addresses);
     }
 
     /// Whether this node knows others, or has tried for long enough. Before
@@ -100,6 +100,6 @@
     fn inhabited(&self) -> impl Iterator<Item = &Domain> {
         let there = |peer: &member::Peer| peer.status == Status::Alive;
         let domains = self.members.domains();
-        domains.filter(move |domain| self.members.domain(domain).any(there))
+        domains.filter(move |domain| self.members.in_domain(domain).any(there))
     }
 }
--- a/src/process/node/listed/inquiry.rs
+++ b/src/process/node/listed/inquiry.rs
@@ -117,7 +117,7 @@
     pub(super) fn listed_watchers(&self) -> Vec<Instance> {
         let own = &self.identity.peer;
         let fit = |peer: &&Peer| peer.domain == own.domain && peer.status == Status::Alive;
-        let best = member::ranked(
+        let best = member::rank_by_rendezvous(
             self.members.iter().filter(fit),
             WATCHER_HASH_SEED,
             WATCHER_CANDIDATES,
--- a/src/request/balance.rs
+++ b/src/request/balance.rs
@@ -285,7 +285,7 @@
         peers: &[&'a Peer],
         policy: Policy,
     ) -> Vec<&'a Peer> {
-        let here = |peer: &&&Peer| members.takes_work(peer) && !self.leaving(now, peer);
+        let here = |peer: &&&Peer| members.accepts_work(peer) && !self.leaving(now, peer);
         let alive: Vec<&Peer> = peers
             .iter()
             .filter(here)
--- a/src/request/balance/subset.rs
+++ b/src/request/balance/subset.rs
@@ -69,7 +69,7 @@
 
 fn draw(domain: &Domain, seed: u64, members: &Table, pool: &Pool) -> Vec<Instance> {
     let here = |peer: &&Peer| {
-        peer.pool == *pool && members.takes_work(peer) && peer.status != Status::Dead
+        peer.pool == *pool && members.accepts_work(peer) && peer.status != Status::Dead
     };
     let (mut near, mut far): (Vec<_>, Vec<_>) = members
         .iter()
--- a/src/standin/crowd.rs
+++ b/src/standin/crowd.rs
@@ -220,7 +220,7 @@
     fn choose(peers: &[Peer], size: Size) -> usize {
         let domain = &peers[0].domain;
         let home = || peers.iter().filter(|peer| peer.domain == *domain);
-        let ranked = member::ranked(home(), crate::node::CHOICE, usize::MAX);
+        let ranked = member::rank_by_rendezvous(home(), crate::node::CHOICE, usize::MAX);
         let place = match size.watcher {
             true => 0,
             false => ranked.len() - 1,
@@ -296,7 +296,7 @@
         if self.rng.random_bool(PROBES * tick) {
             let number = self.rng.random();
             let own = self.core.identity();
-            let tag = member::tag(&own.instance, own.incarnation);
+            let tag = member::incarnation_tag(&own.instance, own.incarnation);
             let message = self.member(Kind::Ping { number, tag }, Vec::new());
             self.arrive(message);
         }
--- a/src/version/adoption/roster.rs
+++ b/src/version/adoption/roster.rs
@@ -104,7 +104,10 @@
     ) -> Report {
         self.confirmed.retain(|name, _| table.get(name).is_some());
         let there = |status| matches!(status, Status::Alive | Status::Suspect);
-        let members: Vec<_> = table.domain(domain).filter(|p| there(p.status)).collect();
+        let members: Vec<_> = table
+            .in_domain(domain)
+            .filter(|p| there(p.status))
+            .collect();
         let has = |name| self.confirmed.get(name).is_some_and(|v| *v >= version);
         let behind: Vec<_> = members
             .iter()
--- a/src/version/adoption/watch.rs
+++ b/src/version/adoption/watch.rs
@@ -103,7 +103,7 @@
 
     fn back_off(&mut self, now: Time, rng: &mut ChaCha8Rng) {
         self.asked = None;
-        self.next = now + member::backoff(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
+        self.next = now + member::backoff_with_jitter(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
         self.lost += 1;
     }
 }
--- a/src/version/freshness.rs
+++ b/src/version/freshness.rs
@@ -162,7 +162,7 @@
         let mut silent = 0;
         let mut expected = 0;
         for domain in table.domains() {
-            let (lost, all) = table.silent(domain);
+            let (lost, all) = table.count_silent(domain);
             silent += lost;
             expected += all;
             let heard = self.heard.get(&mark(domain));
--- a/tests/fleet/membership.rs
+++ b/tests/fleet/membership.rs
@@ -258,7 +258,7 @@
     let now = driver.now();
     for node in 0..EVERYONE {
         let core = driver.core(node).expect("a living node");
-        let age = core.members().ready_for(now, &name(5)).expect("ready");
+        let age = core.members().ready_duration(now, &name(5)).expect("ready");
         let near = age >= Span::from_secs(8) && age <= Span::from_secs(10);
         assert!(near, "{node}: {age}");
     }
--- a/tests/policy/balance.rs
+++ b/tests/policy/balance.rs
@@ -74,7 +74,7 @@
 
     fn evacuate(&mut self, domains: &[&str]) {
         let domains = domains.iter().map(|name| name.parse().expect("a name"));
-        self.members.evacuate(domains.collect());
+        self.members.set_evacuated_domains(domains.collect());
     }
 
     fn told(&mut self, name: &str, load: u32, slots: u32) {
