--- a/src/standin/crowd.rs
+++ b/src/standin/crowd.rs
@@ -220,7 +220,8 @@
     fn choose(peers: &[Peer], size: Size) -> usize {
         let domain = &peers[0].domain;
         let home = || peers.iter().filter(|peer| peer.domain == *domain);
-        let ranked = member::rank_by_rendezvous(home(), crate::node::WATCHER_AND_SEED_SALT, usize::MAX);
+        let ranked =
+            member::rank_by_rendezvous(home(), crate::node::WATCHER_AND_SEED_SALT, usize::MAX);
         let place = match size.watcher {
             true => 0,
             false => ranked.len() - 1,
