--- a/src/request/backpressure.rs
+++ b/src/request/backpressure.rs
@@ -108,7 +108,7 @@
     }
 
     /// An answer to a request that began at `begun` names a limit, or none.
-    pub fn hear(&mut self, now: Time, begun: Time, limit: Limit) {
+    pub fn observe(&mut self, now: Time, begun: Time, limit: Limit) {
         let is_later = begun > self.confirmed;
         match (limit, self.limit) {
             (Limit::Unreadable, _) | (Limit::Absent, None) => {}
@@ -126,7 +126,7 @@
 
     /// Another node has heard this limit through a former life of this one. An
     /// answer heard here is newer.
-    pub fn hint(&mut self, now: Time, limit: Option<Rate>) {
+    pub fn apply_hint(&mut self, now: Time, limit: Option<Rate>) {
         if let Some(rate) = limit.filter(|_| !self.answered)
             && self.limit.is_none_or(|present| rate < present)
         {
@@ -159,7 +159,7 @@
     }
 
     /// A request begins.
-    pub fn take(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         self.unanswered = self.unanswered.saturating_add(1);
         if self.limit.is_some() {
             self.tokens = self.available(now) - 1.0;
@@ -170,7 +170,7 @@
     /// How long a request waits that this many others are ahead of.
     pub fn wait(&self, now: Time, ahead: usize) -> Span {
         let missing = (ahead as f64 + 1.0 - self.available(now)).max(0.0);
-        Span::from_ms((missing * self.gap()).ceil() as u64)
+        Span::from_ms((missing * self.interval_ms()).ceil() as u64)
     }
 
     /// When the next request may begin; never while there is no limit.
@@ -179,16 +179,16 @@
             return Time::NEVER;
         }
         let missing = (1.0 - self.tokens).max(0.0);
-        self.updated + Span::from_ms((missing * self.gap()).ceil() as u64)
+        self.updated + Span::from_ms((missing * self.interval_ms()).ceil() as u64)
     }
 
     /// The time between two requests in milliseconds; zero without a limit.
-    pub fn gap(&self) -> f64 {
+    pub fn interval_ms(&self) -> f64 {
         self.limit.map_or(0.0, |rate| 1000.0 / pace(rate))
     }
 
     /// Requests that may begin now without a wait; nothing without a limit.
-    pub fn room(&self, now: Time) -> Option<u32> {
+    pub fn available_starts(&self, now: Time) -> Option<u32> {
         self.limit
             .map(|_| self.available(now).max(0.0).floor() as u32)
     }
@@ -223,7 +223,7 @@
 impl Hints {
     /// A node reported what its upstream told, or that it told nothing. Only a
     /// report that rides on an answer proves the latter.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Time,
         peer: &Instance,
@@ -251,7 +251,7 @@
     }
 
     /// What a later life of the node has to be told ahead of an attempt.
-    pub fn due(&self, now: Time, peer: &Instance, life: Incarnation) -> Option<Hint> {
+    pub fn pending(&self, now: Time, peer: &Instance, life: Incarnation) -> Option<Hint> {
         let kept = self.0.get(peer)?;
         let is_news = kept.life < life && now.since(kept.at) <= HINT_TIMEOUT;
         is_news.then_some(kept.hint)
--- a/src/request/inbound/pace.rs
+++ b/src/request/inbound/pace.rs
@@ -34,7 +34,7 @@
     /// A request begins.
     pub fn take(&mut self, now: Time) {
         self.meter.take(now);
-        self.throttle.take(now);
+        self.throttle.record_start(now);
     }
 
     /// How long a request waits that this many others are ahead of.
@@ -62,12 +62,12 @@
 
     /// The time between two requests in milliseconds; zero while nothing binds.
     pub fn gap(&self) -> f64 {
-        self.meter.gap().max(self.throttle.gap())
+        self.meter.gap().max(self.throttle.interval_ms())
     }
 
     /// Requests that may begin now without a wait; nothing while nothing binds.
     pub fn room(&self, now: Time) -> Option<u32> {
-        let rooms = [self.meter.room(now), self.throttle.room(now)];
+        let rooms = [self.meter.room(now), self.throttle.available_starts(now)];
         rooms.into_iter().flatten().min()
     }
 
--- a/src/request/inbound/signal.rs
+++ b/src/request/inbound/signal.rs
@@ -56,7 +56,7 @@
     ) {
         let is_known = hint.upstream != id::Upstream::default();
         if is_known && hint.upstream == self.upstream.0 {
-            self.pace.throttle.hint(now, hint.limit);
+            self.pace.throttle.apply_hint(now, hint.limit);
             self.note_limit(now, self.limit(), out);
             if hint.leaving {
                 self.depart(now, true, world, out);
@@ -106,7 +106,7 @@
         if signal.limit == Limit::Unreadable {
             world.counts.add(Counter::LimitUnreadable);
         }
-        self.pace.throttle.hear(now, begun, signal.limit);
+        self.pace.throttle.observe(now, begun, signal.limit);
         let news = match signal.limit {
             Limit::Unreadable => signal.limit,
             _ => self.limit(),
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -115,7 +115,7 @@
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
         self.balancer.sent(now, &peer);
-        if let Some(hint) = self.hints.due(now, &peer, life) {
+        if let Some(hint) = self.hints.pending(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
         out.push(Action::Send {
@@ -162,7 +162,7 @@
         world: &mut World<'_>,
         out: &mut Vec<Action>,
     ) {
-        self.hints.note(now, peer, report.life, report.hint, true);
+        self.hints.record(now, peer, report.life, report.hint, true);
         let Some(number) = self.heard(now, peer, request, &report, world) else {
             return;
         };
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -177,7 +177,8 @@
         report: &Report,
         world: &mut World<'_>,
     ) -> Option<id::Call> {
-        self.hints.note(now, peer, report.life, report.hint, false);
+        self.hints
+            .record(now, peer, report.life, report.hint, false);
         self.balancer.told(now, peer, report);
         world.quota.heard(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
--- a/tests/policy/throttle.rs
+++ b/tests/policy/throttle.rs
@@ -129,13 +129,13 @@
     }
 
     fn attempt(&mut self) -> bool {
-        if let Some(hint) = self.hints.due(self.now, &Self::peer(), self.life) {
-            self.throttle.hint(self.now, hint.limit);
+        if let Some(hint) = self.hints.pending(self.now, &Self::peer(), self.life) {
+            self.throttle.apply_hint(self.now, hint.limit);
         }
         if !self.throttle.allows(self.now) {
             return false;
         }
-        self.throttle.take(self.now);
+        self.throttle.record_start(self.now);
         self.starts.push(self.now);
         self.open.push((self.now, self.now + self.takes));
         true
@@ -145,14 +145,14 @@
         let now = self.now;
         let over: Vec<_> = self.open.extract_if(.., |(_, end)| *end <= now).collect();
         for (begun, _) in over {
-            self.throttle.hear(now, begun, self.limit);
+            self.throttle.observe(now, begun, self.limit);
             let limit = self.throttle.limit();
             let hint = limit.is_some().then_some(Hint {
                 upstream: UPSTREAM,
                 limit,
                 leaving: false,
             });
-            self.hints.note(now, &Self::peer(), self.life, hint, true);
+            self.hints.record(now, &Self::peer(), self.life, hint, true);
         }
     }
 
@@ -221,7 +221,7 @@
 fn heard(limits: &[(u64, u64, Limit)]) -> Option<Rate> {
     let mut throttle = Throttle::default();
     for (at, begun, limit) in limits {
-        throttle.hear(Time::from_ms(*at), Time::from_ms(*begun), *limit);
+        throttle.observe(Time::from_ms(*at), Time::from_ms(*begun), *limit);
     }
     throttle.limit()
 }
@@ -253,9 +253,9 @@
     let mut throttle = Throttle::default();
     let now = Time::from_ms(10_000);
     for _ in 0..30 {
-        throttle.take(now);
+        throttle.record_start(now);
     }
-    throttle.hear(now, now, FIFTEEN);
+    throttle.observe(now, now, FIFTEEN);
     assert!(!throttle.allows(now + Span::from_ms(2000)));
     assert!(throttle.allows(now + Span::from_ms(2100)));
 }
@@ -265,7 +265,7 @@
 fn an_upstream_that_takes_nothing_is_asked_now_and_then() {
     let mut throttle = Throttle::default();
     let now = Time::from_ms(10_000);
-    throttle.hear(now, now, Limit::Named(Rate::per_second(0)));
+    throttle.observe(now, now, Limit::Named(Rate::per_second(0)));
     assert!(!throttle.allows(now + Span::from_ms(3900)));
     assert!(throttle.allows(now + Span::from_ms(4000)));
 }
@@ -275,10 +275,10 @@
 fn an_answer_outweighs_a_hint() {
     let mut throttle = Throttle::default();
     let now = Time::from_ms(10_000);
-    throttle.hint(now, Some(Rate::per_second(9)));
+    throttle.apply_hint(now, Some(Rate::per_second(9)));
     assert_eq!(throttle.limit(), Some(Rate::per_second(9)));
-    throttle.hear(now + Span::from_ms(50), now + Span::from_ms(1), FIFTEEN);
-    throttle.hint(now + Span::from_ms(60), Some(Rate::per_second(9)));
+    throttle.observe(now + Span::from_ms(50), now + Span::from_ms(1), FIFTEEN);
+    throttle.apply_hint(now + Span::from_ms(60), Some(Rate::per_second(9)));
     assert_eq!(throttle.limit(), Some(Rate::per_second(15)));
 }
 
@@ -294,13 +294,17 @@
     };
     let life = id::Incarnation;
     let mut hints = Hints::default();
-    hints.note(now, &peer, life(2), Some(hint), true);
-    assert_eq!(hints.due(now, &peer, life(2)), None);
-    assert_eq!(hints.due(now, &peer, life(3)), Some(hint));
-    hints.note(now, &peer, life(1), None, true);
-    assert_eq!(hints.due(now, &peer, life(3)), Some(hint), "an old report");
-    hints.note(now, &peer, life(3), None, false);
-    assert_eq!(hints.due(now, &peer, life(4)), Some(hint), "a refusal");
-    hints.note(now, &peer, life(3), None, true);
-    assert_eq!(hints.due(now, &peer, life(4)), None, "an answer");
+    hints.record(now, &peer, life(2), Some(hint), true);
+    assert_eq!(hints.pending(now, &peer, life(2)), None);
+    assert_eq!(hints.pending(now, &peer, life(3)), Some(hint));
+    hints.record(now, &peer, life(1), None, true);
+    assert_eq!(
+        hints.pending(now, &peer, life(3)),
+        Some(hint),
+        "an old report"
+    );
+    hints.record(now, &peer, life(3), None, false);
+    assert_eq!(hints.pending(now, &peer, life(4)), Some(hint), "a refusal");
+    hints.record(now, &peer, life(3), None, true);
+    assert_eq!(hints.pending(now, &peer, life(4)), None, "an answer");
 }
