--- a/src/request/backpressure.rs
+++ b/src/request/backpressure.rs
@@ -1,17 +1,19 @@
-//! What an upstream tells about itself in the head of every answer.
+//! Backpressure that an upstream signals in the headers of its answers.
 //!
-//! An upstream in need names the requests a second that it takes from all nodes
-//! together, and one that leaves says so. The inbound proxy is the only way to it,
-//! so one token bucket there, the [`Throttle`], keeps the limit for the whole
-//! fleet: first tries, retries, nested calls and probes.
+//! An overloaded upstream names a limit, in requests per second over all nodes,
+//! and an upstream that is shutting down says that it leaves. Every request
+//! reaches it through the inbound proxy, so a single token bucket there, the
+//! [`Throttle`], enforces the limit for the whole fleet: first attempts, retries,
+//! nested calls and health probes.
 //!
-//! Answers overtake each other, so a lower limit counts at once, and a higher one,
-//! or none, only from an answer to a request that began after the present limit
-//! was last heard: that answer was certainly made later.
+//! Answers may arrive out of order. A lower limit therefore applies at once, but
+//! a higher one, or none, only from an answer to a request that started after the
+//! current limit was last observed: such an answer was certainly produced later.
 //!
-//! What an upstream told outlives the node beside it in a [`Hint`]: it rides on
-//! reports to the nodes that send, and these pass it to the next life of the node
-//! ahead of their first attempt.
+//! What an upstream signals must survive a restart of the node beside it, so it is
+//! also kept elsewhere as a [`Hint`]: reports carry it to the nodes that send
+//! requests, and these pass it to the node's next incarnation ahead of their first
+//! attempt.
 
 use std::collections::BTreeMap;
 
@@ -33,66 +35,68 @@
     unit::Rate, //
 };
 
-/// Requests a second that begin all the same at an upstream that names less:
-/// without any no answer could tell of another limit.
+/// Lowest rate in requests per second that is enforced, also when the upstream
+/// names a lower one: without any request no answer could bring another limit.
 const MIN_RATE: f64 = 0.25;
-/// Requests that may begin at once: as many as come due in this part of a second, at
-/// least [`MIN_BURST`]. What has begun cannot be taken back when the limit falls.
+/// Burst of the token bucket: the requests of this part of a second, but at least
+/// [`MIN_BURST`]. It is small because started requests cannot be recalled when the
+/// limit falls.
 const BURST_SECONDS: f64 = 0.05;
 const MIN_BURST: f64 = 3.0;
-/// How long a request that began before its upstream's limit was heard counts
-/// against it.
-const DEBT_WINDOW: Span = Span::from_secs(4);
-/// How long a hint is kept that nothing confirms. It covers a restart of the node
-/// beside the upstream and the time in which an upstream leaves.
+/// Upper bound on the debt for requests that started before the limit was known, as
+/// the time in which the limit allows that many.
+const MAX_DEBT: Span = Span::from_secs(4);
+/// How long a hint is kept without confirmation. It covers a restart of the node
+/// beside the upstream, and the shutdown of an upstream.
 const HINT_TIMEOUT: Span = Span::from_secs(60);
 
-/// The limit in the head of one answer.
+/// The limit in the headers of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Limit {
-    /// None is named.
+    /// The answer names no limit.
     #[default]
     Absent,
-    /// Requests a second from all nodes together.
+    /// Requests per second over all nodes.
     Named(Rate),
-    /// One is named that is no rate.
+    /// The answer names a limit that is not a valid rate.
     Unreadable,
 }
 
-/// What the head of one answer tells.
+/// The backpressure signals in the headers of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Signal {
     /// The limit that the upstream names.
     pub limit: Limit,
-    /// Whether it says that it leaves.
+    /// Whether the upstream says that it is leaving.
     pub leaving: bool,
 }
 
-/// What is known of an upstream from its answers.
+/// What an upstream has signalled, as kept by other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hint {
-    /// The life of the upstream that told it.
+    /// The upstream process that signalled it.
     pub upstream: Upstream,
     /// The limit that it names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<Rate>,
-    /// Whether it said that it leaves.
+    /// Whether it said that it is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Keeps the limit that one upstream names.
+/// Token bucket that enforces the limit that one upstream names.
 #[derive(Clone, Debug, Default)]
 pub struct Throttle {
     limit: Option<Rate>,
-    /// Requests that may begin; below zero after a limit was heard late.
+    /// Requests that may start; negative when too many had started before the limit
+    /// was known.
     tokens: f64,
     updated: Time,
-    /// When the limit in force was last heard.
+    /// When the limit in force was last observed.
     confirmed: Time,
-    /// Requests begun since the last answer.
+    /// Requests started since the last answer.
     unanswered: u32,
-    /// Whether the upstream has answered since it or this node began.
+    /// Whether the upstream has answered since it, or this node, started.
     answered: bool,
 }
 
@@ -102,21 +106,21 @@
         self.limit
     }
 
-    /// Forgets everything: another upstream is there.
+    /// Resets all state for a new upstream process.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// An answer to a request that began at `begun` names a limit, or none.
-    pub fn observe(&mut self, now: Time, begun: Time, limit: Limit) {
-        let is_later = begun > self.confirmed;
+    /// Processes the limit in an answer to a request that started at `started`.
+    pub fn observe(&mut self, now: Time, started: Time, limit: Limit) {
+        let is_later = started > self.confirmed;
         match (limit, self.limit) {
             (Limit::Unreadable, _) | (Limit::Absent, None) => {}
             (Limit::Absent, Some(_)) if is_later => self.limit = None,
             (Limit::Absent, Some(_)) => {}
-            (Limit::Named(rate), present) => {
-                if present.is_none_or(|present| rate <= present || is_later) {
-                    self.enter(now, rate);
+            (Limit::Named(rate), current) => {
+                if current.is_none_or(|current| rate <= current || is_later) {
+                    self.set_limit(now, rate);
                 }
             }
         }
@@ -124,27 +128,28 @@
         self.unanswered = 0;
     }
 
-    /// Another node has heard this limit through a former life of this one. An
-    /// answer heard here is newer.
+    /// Applies a limit that another node learnt through an earlier incarnation of
+    /// this node. It is ignored once the upstream has answered here, as that answer
+    /// is newer.
     pub fn apply_hint(&mut self, now: Time, limit: Option<Rate>) {
         if let Some(rate) = limit.filter(|_| !self.answered)
-            && self.limit.is_none_or(|present| rate < present)
+            && self.limit.is_none_or(|current| rate < current)
         {
-            self.enter(now, rate);
+            self.set_limit(now, rate);
         }
     }
 
-    fn enter(&mut self, now: Time, rate: Rate) {
+    fn set_limit(&mut self, now: Time, rate: Rate) {
         match self.limit {
             None => {
-                let most = pace(rate) * DEBT_WINDOW.as_secs_f64();
-                self.tokens = -f64::from(self.unanswered).min(most);
+                let max_debt = enforced_rate(rate) * MAX_DEBT.as_secs_f64();
+                self.tokens = -f64::from(self.unanswered).min(max_debt);
             }
-            Some(before) => {
-                let share = (pace(rate) / pace(before)).min(1.0);
+            Some(previous) => {
+                let scale = (enforced_rate(rate) / enforced_rate(previous)).min(1.0);
                 self.tokens = self.available(now);
                 if self.tokens > 0.0 {
-                    self.tokens *= share;
+                    self.tokens *= scale;
                 }
             }
         }
@@ -153,12 +158,12 @@
         self.limit = Some(rate);
     }
 
-    /// Whether a request may begin now.
+    /// Whether a request may start now.
     pub fn allows(&self, now: Time) -> bool {
         self.limit.is_none() || self.available(now) >= 1.0
     }
 
-    /// A request begins.
+    /// Records the start of a request.
     pub fn record_start(&mut self, now: Time) {
         self.unanswered = self.unanswered.saturating_add(1);
         if self.limit.is_some() {
@@ -167,13 +172,13 @@
         }
     }
 
-    /// How long a request waits that this many others are ahead of.
+    /// The wait of a request with this many others ahead of it.
     pub fn wait(&self, now: Time, ahead: usize) -> Span {
         let missing = (ahead as f64 + 1.0 - self.available(now)).max(0.0);
         Span::from_ms((missing * self.interval_ms()).ceil() as u64)
     }
 
-    /// When the next request may begin; never while there is no limit.
+    /// When the next request may start; never while there is no limit.
     pub fn due(&self) -> Time {
         if self.limit.is_none() {
             return Time::NEVER;
@@ -182,12 +187,12 @@
         self.updated + Span::from_ms((missing * self.interval_ms()).ceil() as u64)
     }
 
-    /// The time between two requests in milliseconds; zero without a limit.
+    /// The time between two starts in milliseconds; zero without a limit.
     pub fn interval_ms(&self) -> f64 {
-        self.limit.map_or(0.0, |rate| 1000.0 / pace(rate))
+        self.limit.map_or(0.0, |rate| 1000.0 / enforced_rate(rate))
     }
 
-    /// Requests that may begin now without a wait; nothing without a limit.
+    /// Requests that may start now without a wait; none without a limit.
     pub fn available_starts(&self, now: Time) -> Option<u32> {
         self.limit
             .map(|_| self.available(now).max(0.0).floor() as u32)
@@ -197,51 +202,56 @@
         let Some(rate) = self.limit else {
             return f64::INFINITY;
         };
-        let burst = (pace(rate) * BURST_SECONDS).max(MIN_BURST);
-        let gained = now.since(self.updated).as_secs_f64() * pace(rate);
-        (self.tokens + gained).min(burst)
+        let burst = (enforced_rate(rate) * BURST_SECONDS).max(MIN_BURST);
+        let refill = now.since(self.updated).as_secs_f64() * enforced_rate(rate);
+        (self.tokens + refill).min(burst)
     }
 }
 
-/// Requests a second that begin at an upstream that names this limit.
-fn pace(limit: Rate) -> f64 {
+/// The rate in requests per second that is enforced for a named limit.
+fn enforced_rate(limit: Rate) -> f64 {
     limit.as_f64().max(MIN_RATE)
 }
 
-/// One hint, and the life of the node that gave it.
+/// A hint, and the incarnation of the node that reported it.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct StoredHint {
     hint: Hint,
-    life: Incarnation,
+    incarnation: Incarnation,
     at: Time,
 }
 
-/// What a sending node knows of upstreams at other nodes.
+/// Hints about the upstreams at other nodes, kept by a node that sends requests.
 #[derive(Clone, Debug, Default)]
-pub struct Hints(BTreeMap<Instance, Kept>);
+pub struct Hints(BTreeMap<Instance, StoredHint>);
 
 impl Hints {
-    /// A node reported what its upstream told, or that it told nothing. Only a
-    /// report that rides on an answer proves the latter.
+    /// Records the hint, or its absence, in a report of another node. Its absence
+    /// removes the stored hint only when the report came with an answer: the node
+    /// has then observed the upstream's headers itself.
     pub fn record(
         &mut self,
         now: Time,
         peer: &Instance,
-        life: Incarnation,
+        incarnation: Incarnation,
         hint: Option<Hint>,
         is_answer: bool,
     ) {
-        let is_old = self.0.get(peer).is_some_and(|kept| kept.life > life);
+        let is_old = self
+            .0
+            .get(peer)
+            .is_some_and(|stored| stored.incarnation > incarnation);
         match hint {
             _ if is_old => {}
             Some(hint) => {
-                self.0.retain(|_, kept| now.since(kept.at) <= HINT_TIMEOUT);
-                let kept = Kept {
+                self.0
+                    .retain(|_, stored| now.since(stored.at) <= HINT_TIMEOUT);
+                let stored = StoredHint {
                     hint,
-                    life,
+                    incarnation,
                     at: now,
                 };
-                self.0.insert(peer.clone(), kept);
+                self.0.insert(peer.clone(), stored);
             }
             None if is_answer => {
                 self.0.remove(peer);
@@ -250,10 +260,10 @@
         }
     }
 
-    /// What a later life of the node has to be told ahead of an attempt.
-    pub fn pending(&self, now: Time, peer: &Instance, life: Incarnation) -> Option<Hint> {
-        let kept = self.0.get(peer)?;
-        let is_news = kept.life < life && now.since(kept.at) <= HINT_TIMEOUT;
-        is_news.then_some(kept.hint)
+    /// The hint that a new incarnation of a node must get ahead of an attempt.
+    pub fn pending(&self, now: Time, peer: &Instance, incarnation: Incarnation) -> Option<Hint> {
+        let stored = self.0.get(peer)?;
+        let is_needed = stored.incarnation < incarnation && now.since(stored.at) <= HINT_TIMEOUT;
+        is_needed.then_some(stored.hint)
     }
 }
