--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -698,7 +698,7 @@
         warmup::Status::Cold(until) => {
             log::info!(left_ms = now.until(until).as_ms(); "the upstream is cold")
         }
-        warmup::Status::Doubtful(doubt, _) => {
+        warmup::Status::MaybeCold(doubt, _) => {
             log::info!(doubt:? = doubt; "the upstream may be cold")
         }
     }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -77,7 +77,7 @@
     /// That window.
     pub retry_window: Span,
     /// Requests that a cold upstream may get beyond its rate.
-    pub cold: warmup::Bound,
+    pub cold: warmup::Tolerance,
 }
 
 impl Default for Bounds {
@@ -88,7 +88,7 @@
             retry_ratio: 0.2,
             retry_slack: 48.0,
             retry_window: Span::from_secs(10),
-            cold: warmup::Bound::default(),
+            cold: warmup::Tolerance::default(),
         }
     }
 }
@@ -167,7 +167,7 @@
     /// node on, and shares rates without owners.
     pub fn list(&mut self, source: Source, bounds: Bounds) {
         self.quota.lend(Bank::new(self.identity.peer.clone()));
-        self.proxy.bound_cold(bounds.cold);
+        self.proxy.set_cold_tolerance(bounds.cold);
         self.listed = Some(Listed {
             bounds,
             directory: Directory::new(self.identity.peer.clone()),
@@ -196,7 +196,7 @@
 
     /// Goes by other bounds from now on.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.proxy.bound_cold(bounds.cold);
+        self.proxy.set_cold_tolerance(bounds.cold);
         if let Some(listed) = &mut self.listed {
             listed.bounds = bounds;
         }
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -67,8 +67,8 @@
     record::Claim,
     warmup::{
         self,
+        ColdLimiter,
         Doubt,
-        Meter,
         Status, //
     },
 };
@@ -224,7 +224,7 @@
     queue: Queue,
     limit: Limit,
     knee: knee::Search,
-    bound: warmup::Bound,
+    bound: warmup::Tolerance,
     pace: Pace,
     /// The life of the upstream, zero while it is not told apart, and since when.
     upstream: (id::Upstream, Time),
@@ -254,7 +254,7 @@
             queue: Queue::default(),
             limit: Limit::default(),
             knee: knee::Search::default(),
-            bound: warmup::Bound::default(),
+            bound: warmup::Tolerance::default(),
             pace: Pace::default(),
             upstream: (id::Upstream::default(), Time::ZERO),
             seen: Time::ZERO,
@@ -267,7 +267,7 @@
     }
 
     /// Bounds the requests at a cold upstream, over its rate.
-    pub fn bound_cold(&mut self, bound: warmup::Bound) {
+    pub fn set_cold_tolerance(&mut self, bound: warmup::Tolerance) {
         self.bound = bound;
         self.site.forget_row();
     }
@@ -473,10 +473,10 @@
 
     /// The upstream may be cold.
     fn doubt(&mut self, now: Time, doubt: Doubt, out: &mut Vec<Action>) {
-        self.believe(out, |meter| meter.doubt(now, doubt));
+        self.believe(out, |meter| meter.suspect_cold(now, doubt));
     }
 
-    fn believe(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut Meter)) {
+    fn believe(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut ColdLimiter)) {
         let before = self.pace.meter.status();
         change(&mut self.pace.meter);
         let after = self.pace.meter.status();
--- a/src/request/inbound/pace.rs
+++ b/src/request/inbound/pace.rs
@@ -8,14 +8,14 @@
         Time, //
     },
     code::Code,
-    warmup::Meter, //
+    warmup::ColdLimiter, //
 };
 
 /// The two bounds on the requests that begin in a time.
 #[derive(Clone, Debug, Default)]
 pub struct Pace {
     /// While the upstream is cold.
-    pub meter: Meter,
+    pub meter: ColdLimiter,
     /// While it names a limit.
     pub throttle: Throttle,
 }
@@ -33,7 +33,7 @@
 
     /// A request begins.
     pub fn take(&mut self, now: Time) {
-        self.meter.take(now);
+        self.meter.record_start(now);
         self.throttle.record_start(now);
     }
 
@@ -62,12 +62,15 @@
 
     /// The time between two requests in milliseconds; zero while nothing binds.
     pub fn gap(&self) -> f64 {
-        self.meter.gap().max(self.throttle.interval_ms())
+        self.meter.interval_ms().max(self.throttle.interval_ms())
     }
 
     /// Requests that may begin now without a wait; nothing while nothing binds.
     pub fn room(&self, now: Time) -> Option<u32> {
-        let rooms = [self.meter.room(now), self.throttle.available_starts(now)];
+        let rooms = [
+            self.meter.available_starts(now),
+            self.throttle.available_starts(now),
+        ];
         rooms.into_iter().flatten().min()
     }
 
--- a/src/request/inbound/site.rs
+++ b/src/request/inbound/site.rs
@@ -37,7 +37,7 @@
     /// Time over which a new upstream's share grows.
     pub ramp: Span,
     /// How fast a cold upstream takes requests, when configured.
-    pub cold: Option<warmup::Terms>,
+    pub cold: Option<warmup::RateLimit>,
     /// The last order on the failure domain of this node.
     pub evacuation: Option<Evacuation>,
     /// The upstream takes requests.
@@ -93,7 +93,7 @@
     }
 
     /// Reads the pool's row, when the configuration is a new one.
-    pub fn configure(&mut self, snapshot: &Snapshot, bound: warmup::Bound) {
+    pub fn configure(&mut self, snapshot: &Snapshot, bound: warmup::Tolerance) {
         if self.version == Some(snapshot.version) {
             return;
         }
@@ -103,7 +103,7 @@
             self.queue = row.queue;
             self.delay = row.delay;
             self.ramp = row.ramp;
-            self.cold = bound.terms(row);
+            self.cold = bound.rate_limit(row);
         }
     }
 
--- a/src/request/warmup.rs
+++ b/src/request/warmup.rs
@@ -25,7 +25,7 @@
 
 /// How far requests at a cold upstream may exceed its rate in one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct Tolerance {
     /// Times the rate.
     pub overshoot: f64,
     /// Requests beside.
@@ -36,7 +36,7 @@
 /// upstream's sockets and arrive together.
 const SLACK_SHARE: f64 = 0.5;
 
-impl Default for Bound {
+impl Default for Tolerance {
     fn default() -> Self {
         Self {
             overshoot: 1.5,
@@ -45,11 +45,11 @@
     }
 }
 
-impl Bound {
+impl Tolerance {
     /// The terms for an upstream of a pool; none where its row gives no rate.
-    pub fn terms(self, pool: &Pool) -> Option<Terms> {
+    pub fn rate_limit(self, pool: &Pool) -> Option<RateLimit> {
         let rate = pool.cold?.as_f64();
-        Some(Terms {
+        Some(RateLimit {
             rate,
             burst: rate * (self.overshoot - 1.0).max(0.0) + self.slack * SLACK_SHARE,
             time: pool.warmup,
@@ -59,7 +59,7 @@
 
 /// How fast a cold upstream takes requests, from its pool's row.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RateLimit {
     /// Requests a second.
     pub rate: f64,
     /// Requests that may begin at once after a pause.
@@ -89,19 +89,19 @@
     /// It said that it is cold until then.
     Cold(Time),
     /// It may have turned cold at this time.
-    Doubtful(Doubt, Time),
+    MaybeCold(Doubt, Time),
 }
 
 /// The token bucket in front of one upstream.
 #[derive(Clone, Debug)]
-pub struct Meter {
-    terms: Option<Terms>,
+pub struct ColdLimiter {
+    terms: Option<RateLimit>,
     status: Status,
     tokens: f64,
     updated: Time,
 }
 
-impl Default for Meter {
+impl Default for ColdLimiter {
     fn default() -> Self {
         Self {
             terms: None,
@@ -112,9 +112,9 @@
     }
 }
 
-impl Meter {
+impl ColdLimiter {
     /// Goes by the pool's row; without terms nothing is metered.
-    pub fn configure(&mut self, terms: Option<Terms>) {
+    pub fn configure(&mut self, terms: Option<RateLimit>) {
         self.terms = terms.filter(|terms| terms.rate > 0.0);
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// The upstream may have turned cold.
-    pub fn doubt(&mut self, now: Time, doubt: Doubt) {
-        self.enter(now, Status::Doubtful(doubt, now));
+    pub fn suspect_cold(&mut self, now: Time, doubt: Doubt) {
+        self.enter(now, Status::MaybeCold(doubt, now));
     }
 
     /// Ends a cold time that is over.
@@ -150,7 +150,7 @@
         let over = match self.status {
             Status::Warm => false,
             Status::Cold(until) => until <= now,
-            Status::Doubtful(_, since) => since + time <= now,
+            Status::MaybeCold(_, since) => since + time <= now,
         };
         if over {
             self.status = Status::Warm;
@@ -163,7 +163,7 @@
     }
 
     /// A request begins.
-    pub fn take(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         if self.is_cold() {
             self.tokens = self.available(now) - 1.0;
             self.updated = now;
@@ -189,13 +189,13 @@
     }
 
     /// The time between two requests in milliseconds; zero while warm.
-    pub fn gap(&self) -> f64 {
+    pub fn interval_ms(&self) -> f64 {
         let terms = self.terms.filter(|_| self.is_cold());
         terms.map_or(0.0, |terms| 1000.0 / terms.rate)
     }
 
     /// Requests that may begin now without a wait; nothing while warm.
-    pub fn room(&self, now: Time) -> Option<u32> {
+    pub fn available_starts(&self, now: Time) -> Option<u32> {
         self.is_cold()
             .then(|| self.available(now).max(0.0).floor() as u32)
     }
--- a/tests/policy/warmup.rs
+++ b/tests/policy/warmup.rs
@@ -6,11 +6,11 @@
         Time, //
     },
     warmup::{
-        Bound,
+        ColdLimiter,
         Doubt,
-        Meter,
+        RateLimit, //
         Status,
-        Terms, //
+        Tolerance,
     },
 };
 use proptest::prelude::*;
@@ -18,14 +18,14 @@
 const RATE: f64 = 13.0;
 const TIME: Span = Span::from_secs(3);
 
-fn terms() -> Terms {
+fn terms() -> RateLimit {
     let pool = r#"{"name":"p","cold":"13/s","warmup":"3s"}"#;
     let pool = serde_json::from_str(pool).expect("a row");
-    let bound = Bound {
+    let bound = Tolerance {
         overshoot: 1.5,
         slack: 8.0,
     };
-    bound.terms(&pool).expect("a rate")
+    bound.rate_limit(&pool).expect("a rate")
 }
 
 /// What may happen beside an upstream that gets as much as its meter allows.
@@ -65,7 +65,7 @@
 /// An upstream and the meter beside it.
 struct Story {
     now: Time,
-    meter: Meter,
+    meter: ColdLimiter,
     /// Until when the upstream is cold.
     cold_until: Time,
     /// Requests that began while it was cold.
@@ -77,12 +77,12 @@
         let now = Time::from_ms(10_000);
         let mut story = Self {
             now,
-            meter: Meter::default(),
+            meter: ColdLimiter::default(),
             cold_until: now + TIME,
             starts: Vec::new(),
         };
         story.meter.configure(Some(terms()));
-        story.meter.doubt(now, Doubt::Unreported);
+        story.meter.suspect_cold(now, Doubt::Unreported);
         story
     }
 
@@ -91,14 +91,14 @@
             Step::Press(ms) => self.press(ms),
             Step::Rest(ms) => self.now += Span::from_ms(ms),
             Step::NodeStarts => {
-                self.meter = Meter::default();
+                self.meter = ColdLimiter::default();
                 self.meter.configure(Some(terms()));
-                self.meter.doubt(self.now, Doubt::Unreported);
+                self.meter.suspect_cold(self.now, Doubt::Unreported);
             }
             Step::TurnsCold => self.cold_until = self.now + TIME,
             Step::Doubted(doubt) => {
                 self.cold_until = self.now + TIME;
-                self.meter.doubt(self.now, doubt);
+                self.meter.suspect_cold(self.now, doubt);
             }
             Step::Reports => {
                 let left = self.now.until(self.cold_until);
@@ -116,7 +116,7 @@
                 if !self.meter.allows(self.now) {
                     break;
                 }
-                self.meter.take(self.now);
+                self.meter.record_start(self.now);
                 if self.now < self.cold_until {
                     self.starts.push(self.now);
                 }
@@ -196,10 +196,10 @@
 /// Guards against an upstream that stays metered for ever as it reports nothing.
 #[test]
 fn a_doubt_ends_when_the_upstream_would_be_warm_again() {
-    let mut meter = Meter::default();
+    let mut meter = ColdLimiter::default();
     meter.configure(Some(terms()));
     let now = Time::from_ms(500);
-    meter.doubt(now, Doubt::Refused);
+    meter.suspect_cold(now, Doubt::Refused);
     meter.tick(now + (TIME - Span::from_ms(1)));
     assert!(meter.is_cold());
     meter.tick(now + TIME);
@@ -209,12 +209,12 @@
 /// Guards against limits on pools whose row gives no rate.
 #[test]
 fn without_a_rate_nothing_is_metered() {
-    let mut meter = Meter::default();
+    let mut meter = ColdLimiter::default();
     let now = Time::from_ms(500);
     meter.report(now, TIME);
     assert!(!meter.is_cold());
     assert!((0..1000).all(|_| {
-        meter.take(now);
+        meter.record_start(now);
         meter.allows(now)
     }));
 }
@@ -222,7 +222,7 @@
 /// Guards against requests that wait longer than the meter lets them begin.
 #[test]
 fn the_wait_is_the_time_until_the_turn() {
-    let mut meter = Meter::default();
+    let mut meter = ColdLimiter::default();
     meter.configure(Some(terms()));
     let now = Time::from_ms(500);
     meter.report(now, TIME);
@@ -230,7 +230,7 @@
     for at in 0..second.as_ms() {
         let at = now + Span::from_ms(at);
         if meter.allows(at) {
-            meter.take(at);
+            meter.record_start(at);
         }
     }
     assert!(!meter.allows(now + (second - Span::from_ms(1))));
