--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -55,7 +55,7 @@
     frame::Fate,
     id,
     limit::{
-        Limit,
+        Concurrency,
         knee, //
     },
     metric::{
@@ -222,7 +222,7 @@
     purses: Purses,
     waiting: BTreeMap<id::Request, Waiting>,
     queue: Queue,
-    limit: Limit,
+    limit: Concurrency,
     knee: knee::Search,
     bound: warmup::Tolerance,
     pace: Pace,
@@ -252,7 +252,7 @@
             purses: Purses::new(),
             waiting: BTreeMap::new(),
             queue: Queue::default(),
-            limit: Limit::default(),
+            limit: Concurrency::default(),
             knee: knee::Search::default(),
             bound: warmup::Tolerance::default(),
             pace: Pace::default(),
@@ -622,7 +622,7 @@
 
     fn ready(&mut self, now: Time, ready: bool, world: &mut World<'_>, out: &mut Vec<Action>) {
         if ready && !self.site.ready {
-            self.limit.warm(now, self.site.ramp);
+            self.limit.start_ramp(now, self.site.ramp);
             self.doubt(now, Doubt::Unreported, out);
         }
         self.site.ready = ready;
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -45,7 +45,7 @@
     deadline: Time,
     root: Time,
     /// The turn of the search for the knee in which it took the last slot.
-    turn: Option<knee::Turn>,
+    turn: Option<knee::Phase>,
     /// Nobody waits for it: its end is not told.
     aborted: bool,
     called: Vec<id::Route>,
@@ -151,7 +151,7 @@
             begun: now,
             deadline,
             root: waiting.root,
-            turn: self.knee.began(self.running.len() as u32 + 1),
+            turn: self.knee.start_phase(self.running.len() as u32 + 1),
             aborted: false,
             called: Vec::new(),
         };
@@ -226,9 +226,9 @@
         match end {
             End::Answered(_) => {
                 let took = now.since(running.begun);
-                self.limit.served(took, in_flight);
+                self.limit.record_served(took, in_flight);
                 if let Some(turn) = running.turn {
-                    self.knee.served(turn, &running.route, took);
+                    self.knee.record_served(turn, &running.route, took);
                 }
                 // A time beyond its own deadline says that this node slept, or
                 // that nobody waited; it is not how long the route takes.
@@ -238,7 +238,7 @@
                 world.levels.record_calls(&running.route, &running.called);
             }
             End::Refused => {
-                self.limit.refused();
+                self.limit.record_refused();
                 self.doubt(now, Doubt::Refused, out);
             }
             End::Rejected | End::Cut | End::Aborted => {}
--- a/src/request/limit.rs
+++ b/src/request/limit.rs
@@ -30,7 +30,7 @@
 
 /// The limit of one upstream.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct Concurrency {
     configured: Option<u32>,
     learnt: f64,
     trial: Option<Trial>,
@@ -58,7 +58,7 @@
     refused: bool,
 }
 
-impl Default for Limit {
+impl Default for Concurrency {
     fn default() -> Self {
         Self {
             configured: None,
@@ -71,7 +71,7 @@
     }
 }
 
-impl Limit {
+impl Concurrency {
     /// Takes the pool's row into account.
     pub fn configure(&mut self, slots: Option<u32>) {
         if self.configured == slots {
@@ -84,7 +84,7 @@
     }
 
     /// An upstream has just come up: its share grows over `ramp`.
-    pub fn warm(&mut self, now: Time, ramp: Span) {
+    pub fn start_ramp(&mut self, now: Time, ramp: Span) {
         self.warm = Some((now, ramp));
     }
 
@@ -99,14 +99,14 @@
     }
 
     /// An attempt was served whole, with this many in flight beside it.
-    pub fn served(&mut self, took: Span, in_flight: u32) {
+    pub fn record_served(&mut self, took: Span, in_flight: u32) {
         self.window.served += 1;
         self.window.total_ms += took.as_ms().max(1) as f64;
         self.window.peak = self.window.peak.max(in_flight);
     }
 
     /// The upstream accepted no connection.
-    pub fn refused(&mut self) {
+    pub fn record_refused(&mut self) {
         self.window.refused = true;
     }
 
--- a/src/request/limit/knee.rs
+++ b/src/request/limit/knee.rs
@@ -48,7 +48,7 @@
 
 /// The turn in which a request took the last slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn(u64);
+pub struct Phase(u64);
 
 /// Times of service of one route.
 #[derive(Clone, Copy, Debug, Default)]
@@ -112,13 +112,13 @@
     }
 
     /// A request begins, the last of this many that run now.
-    pub fn began(&self, running: u32) -> Option<Turn> {
+    pub fn start_phase(&self, running: u32) -> Option<Phase> {
         let counts = self.trial.is_some() && running == self.limit();
-        counts.then_some(Turn(self.turn))
+        counts.then_some(Phase(self.turn))
     }
 
     /// A request that took the last slot in a turn was served whole.
-    pub fn served(&mut self, turn: Turn, route: &Route, took: Span) {
+    pub fn record_served(&mut self, turn: Phase, route: &Route, took: Span) {
         // One that runs into the next turn tells of both.
         let Some(trial) = self.trial.as_mut().filter(|_| turn.0 == self.turn) else {
             return;
--- a/tests/policy/knee.rs
+++ b/tests/policy/knee.rs
@@ -31,7 +31,7 @@
     work: u64,
     left: f64,
     begun: Time,
-    turn: Option<bluebellswitch::limit::knee::Turn>,
+    turn: Option<bluebellswitch::limit::knee::Phase>,
 }
 
 impl Story {
@@ -61,7 +61,7 @@
                 if let Some(turn) = request.turn {
                     let route = request.route.parse().expect("a name");
                     let took = self.now.since(request.begun);
-                    self.search.served(turn, &route, took);
+                    self.search.record_served(turn, &route, took);
                 }
             }
             self.search.tick(self.now, true, 40.0);
@@ -82,7 +82,7 @@
             work: work as u64,
             left: work,
             begun: self.now,
-            turn: self.search.began(self.running.len() as u32 + 1),
+            turn: self.search.start_phase(self.running.len() as u32 + 1),
         });
     }
 
--- a/tests/policy/limit.rs
+++ b/tests/policy/limit.rs
@@ -5,7 +5,7 @@
         Span,
         Time, //
     },
-    limit::Limit,
+    limit::Concurrency,
 };
 use rand::{
     RngExt,
@@ -17,7 +17,7 @@
 const SLOTS: u64 = 20;
 
 struct Bench {
-    limit: Limit,
+    limit: Concurrency,
     now: Time,
     /// When each request in flight ends, and when it began.
     running: Vec<(Time, Time)>,
@@ -33,7 +33,7 @@
             let now = self.now;
             let in_flight = self.running.len() as u32;
             for (_, begun) in self.running.extract_if(.., |(ends, _)| *ends <= now) {
-                self.limit.served(now.since(begun), in_flight);
+                self.limit.record_served(now.since(begun), in_flight);
             }
             self.limit.tick(now);
             while self.running.len() < self.limit.current(now) as usize {
@@ -53,7 +53,7 @@
 
 fn bench() -> Bench {
     Bench {
-        limit: Limit::default(),
+        limit: Concurrency::default(),
         now: Time::from_ms(1000),
         running: Vec::new(),
         rng: ChaCha8Rng::seed_from_u64(9),
@@ -91,7 +91,7 @@
     bench.limit.configure(Some(100));
     for _ in 0..10 {
         bench.now += Span::from_ms(100);
-        bench.limit.refused();
+        bench.limit.record_refused();
         bench.limit.tick(bench.now);
     }
     bench.near(2, 10);
