--- a/src/request/warmup.rs
+++ b/src/request/warmup.rs
@@ -1,19 +1,20 @@
-//! Limits the requests that begin at a cold upstream.
+//! Limits the rate at which requests start at a cold upstream.
 //!
-//! An upstream that has just started is slow, and crashes when it gets requests
-//! at the rate that it takes once it is warm. The inbound proxy is the only way to
-//! it, so one token bucket there meters all of them: first tries, retries, nested
-//! calls and probes.
+//! An upstream that has just started is slow, and it crashes at the request rate
+//! that it handles once warm. Every request reaches it through the inbound proxy,
+//! so a single token bucket there limits all of them: first attempts, retries,
+//! nested calls and health probes.
 //!
-//! With a rate `r` and a burst `b`, at most `r + b` requests begin in any second.
-//! The bucket starts empty whenever the upstream turns cold, or may have: if a
-//! former life of this node used a part `s` of a window, it started `r * s + b` at
-//! most in it, and this life starts `r * (1 - s)` in the rest.
+//! With a rate `r` and a burst `b`, at most `r + b` requests start in any second.
+//! The bucket starts empty whenever the upstream turns cold, or may have turned
+//! cold. This keeps the bound across a restart of the node: if its previous
+//! incarnation ran for a part `s` of the second, it started at most `r * s + b`
+//! requests, and this one starts `r * (1 - s)` in the rest.
 //!
-//! The upstream reports how long it stays cold, about once a heartbeat. Between
-//! two reports it may have started again. Events after which that is possible
-//! raise a [`Doubt`], and an upstream in doubt counts as cold until its next
-//! report, or until it would have been warm again in any case.
+//! The upstream reports how long it stays cold, about once per heartbeat. It may
+//! have restarted between two reports. Events after which that is possible raise
+//! a [`Doubt`]; the upstream then counts as cold until its next report, or until
+//! its full warm-up time has passed.
 
 use crate::{
     clock::{
@@ -23,17 +24,18 @@
     tables::Pool, //
 };
 
-/// How far requests at a cold upstream may exceed its rate in one second.
+/// By how much the requests that start at a cold upstream within one second may
+/// exceed its rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Times the rate.
+    /// Factor on the rate.
     pub overshoot: f64,
-    /// Requests beside.
+    /// Requests on top of that.
     pub slack: f64,
 }
 
-/// The part of the slack that is used. The rest covers requests that wait in the
-/// upstream's sockets and arrive together.
+/// The part of the slack that the burst uses. The rest covers requests that are
+/// held in the upstream's socket buffers and arrive together.
 const SLACK_SHARE: f64 = 0.5;
 
 impl Default for Tolerance {
@@ -46,34 +48,35 @@
 }
 
 impl Tolerance {
-    /// The terms for an upstream of a pool; none where its row gives no rate.
+    /// The rate limit of a cold upstream in this pool; none when the pool's
+    /// configuration sets no rate.
     pub fn rate_limit(self, pool: &Pool) -> Option<RateLimit> {
         let rate = pool.cold?.as_f64();
         Some(RateLimit {
             rate,
             burst: rate * (self.overshoot - 1.0).max(0.0) + self.slack * SLACK_SHARE,
-            time: pool.warmup,
+            warmup: pool.warmup,
         })
     }
 }
 
-/// How fast a cold upstream takes requests, from its pool's row.
+/// Rate limit of a cold upstream, from the configuration of its pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests that may begin at once after a pause.
+    /// Capacity of the token bucket, in requests.
     pub burst: f64,
-    /// How long an upstream is cold after its start.
-    pub time: Span,
+    /// How long an upstream stays cold after its start.
+    pub warmup: Span,
 }
 
-/// Why an upstream may be cold although it has not said so.
+/// Why an upstream may be cold although it has not reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Doubt {
-    /// It has just come up and reported nothing yet.
+    /// It has just become ready and has not reported yet.
     Unreported,
-    /// It accepted no connection.
+    /// It refused a connection.
     Refused,
     /// This node was suspended.
     Suspended,
@@ -81,21 +84,22 @@
     Returned,
 }
 
-/// What is believed of the upstream.
+/// Whether the upstream is assumed to be cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes requests as fast as its slots allow.
+    /// It is warm: only its slots limit it.
     Warm,
-    /// It said that it is cold until then.
+    /// It reported that it is cold until then.
     Cold(Time),
-    /// It may have turned cold at this time.
+    /// It may have turned cold at this time, for this reason.
     MaybeCold(Doubt, Time),
 }
 
-/// The token bucket in front of one upstream.
+/// The token bucket in front of one upstream. It is in force while the upstream
+/// is, or may be, cold.
 #[derive(Clone, Debug)]
 pub struct ColdLimiter {
-    terms: Option<RateLimit>,
+    limit: Option<RateLimit>,
     status: Status,
     tokens: f64,
     updated: Time,
@@ -104,7 +108,7 @@
 impl Default for ColdLimiter {
     fn default() -> Self {
         Self {
-            terms: None,
+            limit: None,
             status: Status::Warm,
             tokens: 0.0,
             updated: Time::ZERO,
@@ -113,24 +117,24 @@
 }
 
 impl ColdLimiter {
-    /// Goes by the pool's row; without terms nothing is metered.
-    pub fn configure(&mut self, terms: Option<RateLimit>) {
-        self.terms = terms.filter(|terms| terms.rate > 0.0);
+    /// Sets the rate limit; without one nothing is limited.
+    pub fn configure(&mut self, limit: Option<RateLimit>) {
+        self.limit = limit.filter(|limit| limit.rate > 0.0);
     }
 
-    /// What is believed of the upstream.
+    /// Whether the upstream is assumed to be cold.
     pub fn status(&self) -> Status {
         self.status
     }
 
-    /// Whether requests are metered.
+    /// Whether the rate limit is in force.
     pub fn is_cold(&self) -> bool {
-        self.terms.is_some() && self.status != Status::Warm
+        self.limit.is_some() && self.status != Status::Warm
     }
 
-    /// The upstream reported how much longer it is cold.
+    /// The upstream reported how much longer it stays cold.
     pub fn report(&mut self, now: Time, left: Span) {
-        self.enter(
+        self.set_status(
             now,
             match left {
                 Span::ZERO => Status::Warm,
@@ -141,28 +145,28 @@
 
     /// The upstream may have turned cold.
     pub fn suspect_cold(&mut self, now: Time, doubt: Doubt) {
-        self.enter(now, Status::MaybeCold(doubt, now));
+        self.set_status(now, Status::MaybeCold(doubt, now));
     }
 
-    /// Ends a cold time that is over.
+    /// Marks the upstream as warm once its cold period is over.
     pub fn tick(&mut self, now: Time) {
-        let time = self.terms.map_or(Span::ZERO, |terms| terms.time);
-        let over = match self.status {
+        let warmup = self.limit.map_or(Span::ZERO, |limit| limit.warmup);
+        let is_over = match self.status {
             Status::Warm => false,
             Status::Cold(until) => until <= now,
-            Status::MaybeCold(_, since) => since + time <= now,
+            Status::MaybeCold(_, since) => since + warmup <= now,
         };
-        if over {
+        if is_over {
             self.status = Status::Warm;
         }
     }
 
-    /// Whether a request may begin now.
+    /// Whether a request may start now.
     pub fn allows(&self, now: Time) -> bool {
         !self.is_cold() || self.available(now) >= 1.0
     }
 
-    /// A request begins.
+    /// Records the start of a request.
     pub fn record_start(&mut self, now: Time) {
         if self.is_cold() {
             self.tokens = self.available(now) - 1.0;
@@ -170,37 +174,37 @@
         }
     }
 
-    /// How long a request waits that this many others are ahead of.
+    /// The wait of a request with this many others ahead of it.
     pub fn wait(&self, now: Time, ahead: usize) -> Span {
-        let Some(terms) = self.terms.filter(|_| self.is_cold()) else {
+        let Some(limit) = self.limit.filter(|_| self.is_cold()) else {
             return Span::ZERO;
         };
         let missing = (ahead as f64 + 1.0 - self.available(now)).max(0.0);
-        Span::from_ms((missing / terms.rate * 1000.0).ceil() as u64)
+        Span::from_ms((missing / limit.rate * 1000.0).ceil() as u64)
     }
 
-    /// When the next request may begin, or the cold time ends.
+    /// When the next request may start; never while warm.
     pub fn due(&self) -> Time {
-        let Some(terms) = self.terms.filter(|_| self.is_cold()) else {
+        let Some(limit) = self.limit.filter(|_| self.is_cold()) else {
             return Time::NEVER;
         };
         let missing = (1.0 - self.tokens).max(0.0);
-        self.updated + Span::from_ms((missing / terms.rate * 1000.0).ceil() as u64)
+        self.updated + Span::from_ms((missing / limit.rate * 1000.0).ceil() as u64)
     }
 
-    /// The time between two requests in milliseconds; zero while warm.
+    /// The time between two starts in milliseconds; zero while warm.
     pub fn interval_ms(&self) -> f64 {
-        let terms = self.terms.filter(|_| self.is_cold());
-        terms.map_or(0.0, |terms| 1000.0 / terms.rate)
+        let limit = self.limit.filter(|_| self.is_cold());
+        limit.map_or(0.0, |limit| 1000.0 / limit.rate)
     }
 
-    /// Requests that may begin now without a wait; nothing while warm.
+    /// Requests that may start now without a wait; none while warm.
     pub fn available_starts(&self, now: Time) -> Option<u32> {
         self.is_cold()
             .then(|| self.available(now).max(0.0).floor() as u32)
     }
 
-    fn enter(&mut self, now: Time, status: Status) {
+    fn set_status(&mut self, now: Time, status: Status) {
         if self.status == Status::Warm {
             self.tokens = 0.0;
             self.updated = now;
@@ -209,10 +213,10 @@
     }
 
     fn available(&self, now: Time) -> f64 {
-        let Some(terms) = self.terms else {
+        let Some(limit) = self.limit else {
             return 0.0;
         };
-        let gained = now.since(self.updated).as_secs_f64() * terms.rate;
-        (self.tokens + gained).min(terms.burst.max(1.0))
+        let refill = now.since(self.updated).as_secs_f64() * limit.rate;
+        (self.tokens + refill).min(limit.burst.max(1.0))
     }
 }
