--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -348,7 +348,7 @@
     /// Takes a health probe out of what the upstream may get. Returns whether it
     /// may be sent now.
     pub fn probe(&mut self, now: Time) -> bool {
-        let is_allowed = self.proxy.probe(now);
+        let is_allowed = self.proxy.start_probe(now);
         if is_allowed {
             self.counts.add(Counter::Started(Kind::Probe));
         }
@@ -498,7 +498,7 @@
         let origin = match call.origin {
             Origin::Caller(key) => ingress::Origin::Caller { key },
             Origin::Service(token) => ingress::Origin::Service {
-                parent: token.and_then(|token| self.proxy.parent(now, token)),
+                parent: token.and_then(|token| self.proxy.nested_context(now, token)),
             },
         };
         let arrival = ingress::Arrival {
@@ -670,7 +670,7 @@
                 self.record_refused(now, *request, *code, out);
             }
             match action {
-                inbound::Action::Orphan(orphaned) => {
+                inbound::Action::EndNestedCalls(orphaned) => {
                     self.ingress(now, ingress::Event::Orphan(orphaned), out);
                 }
                 action => out.extend(carried(action)),
@@ -751,6 +751,6 @@
         inbound::Action::Warmup(status) => Action::Note(Note::Warmup(status)),
         inbound::Action::Limit(limit) => Action::Note(Note::Limit(limit)),
         inbound::Action::Departing { by_hint } => Action::Note(Note::Departing { by_hint }),
-        inbound::Action::Orphan(_) => return None,
+        inbound::Action::EndNestedCalls(_) => return None,
     })
 }
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -20,7 +20,7 @@
 
 use rand_chacha::ChaCha8Rng;
 
-pub use self::caller::Made;
+pub use self::caller::OutgoingCall;
 use self::{
     caller::Makers,
     memory::{
@@ -182,7 +182,7 @@
     /// Answer a revocation.
     Fate(id::Instance, id::Request, Fate),
     /// The attempt is over for its callers: end the nested calls it made.
-    Orphan(id::Request),
+    EndNestedCalls(id::Request),
     /// The upstream is believed to be cold or warm from now on.
     Warmup(Status),
     /// The upstream tells another limit than before.
@@ -360,23 +360,23 @@
 
     /// The context of the running attempt that holds this token, with the time
     /// it has left. None once nobody waits for the attempt.
-    pub fn parent(&self, now: Time, token: id::Token) -> Option<Context> {
+    pub fn nested_context(&self, now: Time, token: id::Token) -> Option<Context> {
         let request = self.tokens.get(&token)?;
         let running = self.running.get(request)?;
         Some(running.nested(now, *request))
     }
 
     /// Remembers that the running attempt calls this route.
-    pub fn calls(&mut self, parent: id::Request, route: &id::Route) {
+    pub fn record_call(&mut self, parent: id::Request, route: &id::Route) {
         if let Some(running) = self.running.get_mut(&parent) {
-            running.calls(route);
+            running.record_call(route);
         }
     }
 
     /// Remembers that a call of the service failed. The attempt that made it
     /// will most likely fail for that, and trying it again would repeat all its
     /// other calls.
-    pub fn call_failed(&mut self, now: Time) {
+    pub fn record_call_failure(&mut self, now: Time) {
         self.failed = Some(now);
     }
 
--- a/src/request/inbound/caller.rs
+++ b/src/request/inbound/caller.rs
@@ -72,7 +72,7 @@
 
 /// A call of the service beside this node, as far as it tells of its maker.
 #[derive(Clone, Copy, Debug)]
-pub struct Made<'a> {
+pub struct OutgoingCall<'a> {
     /// Its route.
     pub route: &'a id::Route,
     /// How long its maker waits, where it said so.
@@ -84,10 +84,10 @@
 impl Proxy {
     /// Finds the attempt that made a call, and gives the call to it. Returns the
     /// attempt's context as it is now.
-    pub fn caller(
+    pub fn attribute_call(
         &mut self,
         now: Time,
-        made: Made<'_>,
+        made: OutgoingCall<'_>,
         levels: &Levels,
     ) -> Option<(id::Request, Context)> {
         let bounded = self.bounded(now, made);
@@ -104,12 +104,17 @@
         };
         self.makers.remember(now, made.connection, former);
         let running = self.running.get_mut(&request)?;
-        running.calls(made.route);
+        running.record_call(made.route);
         Some((request, running.nested(now, request)))
     }
 
     /// A call that was given to an attempt has been answered.
-    pub fn returned(&mut self, now: Time, maker: id::Request, connection: id::Connection) {
+    pub fn record_call_answered(
+        &mut self,
+        now: Time,
+        maker: id::Request,
+        connection: id::Connection,
+    ) {
         let former = self.makers.connections.get_mut(&connection);
         if let Some(former) = former.filter(|former| former.maker == maker) {
             former.answered = Some(now);
@@ -118,7 +123,7 @@
 
     /// Whether the route bounds its calls more tightly than the attempts that
     /// may make them, so that their ends tell nothing.
-    fn bounded(&mut self, now: Time, made: Made<'_>) -> bool {
+    fn bounded(&mut self, now: Time, made: OutgoingCall<'_>) -> bool {
         let bound = self.makers.routes.entry(made.route.clone()).or_default();
         let Some(left) = made.left else {
             return true;
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -83,7 +83,7 @@
     }
 
     /// Remembers that it calls this route.
-    pub fn calls(&mut self, route: &id::Route) {
+    pub fn record_call(&mut self, route: &id::Route) {
         if !self.has_called(route) {
             self.called.push(route.clone());
         }
@@ -174,7 +174,7 @@
         running.aborted = true;
         self.tokens.remove(&running.token);
         self.deadlines.remove(&(running.deadline, request));
-        out.push(Action::Orphan(request));
+        out.push(Action::EndNestedCalls(request));
         out.push(Action::Abort(request));
     }
 
@@ -244,7 +244,7 @@
             End::Rejected | End::Cut | End::Aborted => {}
         }
         if !running.aborted {
-            out.push(Action::Orphan(request));
+            out.push(Action::EndNestedCalls(request));
             out.push(told(running.peer, request, end, report));
         }
     }
--- a/src/request/inbound/signal.rs
+++ b/src/request/inbound/signal.rs
@@ -83,7 +83,7 @@
 
     /// Takes a health probe out of what the upstream may get. Returns whether there
     /// is room for it.
-    pub fn probe(&mut self, now: Time) -> bool {
+    pub fn start_probe(&mut self, now: Time) -> bool {
         let is_allowed = self.pace.allows(now);
         if is_allowed {
             self.pace.take(now);
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -25,7 +25,7 @@
         Importance, //
     },
     id,
-    inbound::Made,
+    inbound::OutgoingCall,
     metric::Counter,
     policy::{
         Admission,
@@ -91,7 +91,7 @@
             .left
             .map_or(context.left, |left| left.min(context.left));
         if let Some(parent) = context.parent {
-            world.proxy.calls(parent, &route.name);
+            world.proxy.record_call(parent, &route.name);
             self.children
                 .entry(parent)
                 .or_default()
@@ -175,12 +175,12 @@
         if !world.policy.attribution {
             return (None, context);
         }
-        let made = Made {
+        let made = OutgoingCall {
             route: &route.name,
             left: arrival.left,
             connection: arrival.connection,
         };
-        let Some((request, maker)) = world.proxy.caller(now, made, world.levels) else {
+        let Some((request, maker)) = world.proxy.attribute_call(now, made, world.levels) else {
             world.counts.add(Counter::Unattributed);
             return (None, context);
         };
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -79,7 +79,7 @@
             return;
         };
         if call.context.key.is_none() && call.context.parent.is_none() {
-            world.proxy.call_failed(now);
+            world.proxy.record_call_failure(now);
         }
         if let Some(parent) = call.context.parent
             && let Some(purse) = world.proxy.purses().get_mut(&parent)
@@ -245,7 +245,9 @@
             return;
         };
         if let Some(maker) = call.maker {
-            world.proxy.returned(now, maker, call.connection);
+            world
+                .proxy
+                .record_call_answered(now, maker, call.connection);
         }
         self.timers.remove(&(call.wake, number));
         if let Some(parent) = call.context.parent
--- a/tests/policy/attribution.rs
+++ b/tests/policy/attribution.rs
@@ -24,7 +24,7 @@
     id,
     inbound::{
         Event,
-        Made,
+        OutgoingCall,
         Proxy,
         World, //
     },
@@ -114,18 +114,18 @@
 
     fn call(&mut self, left: u64, connection: u64) -> Option<id::Request> {
         let route = "called".parse().expect("a name");
-        let made = Made {
+        let made = OutgoingCall {
             route: &route,
             left: Some(Span::from_ms(left)),
             connection: id::Connection(connection),
         };
-        let found = self.proxy.caller(self.now, made, &self.levels);
+        let found = self.proxy.attribute_call(self.now, made, &self.levels);
         found.map(|(request, _)| request)
     }
 
     fn answered(&mut self, maker: id::Request, connection: u64) {
         self.proxy
-            .returned(self.now, maker, id::Connection(connection));
+            .record_call_answered(self.now, maker, id::Connection(connection));
     }
 
     fn wait(&mut self, ms: u64) {
--- a/tests/policy/inbound.rs
+++ b/tests/policy/inbound.rs
@@ -346,7 +346,7 @@
     let peer: id::Instance = "a".parse().expect("a name");
     let actions = bench.on(Event::Cancel(peer, running));
     assert!(actions.contains(&Action::Abort(running)));
-    assert!(actions.contains(&Action::Orphan(running)));
+    assert!(actions.contains(&Action::EndNestedCalls(running)));
     let (next, actions) = bench.attempt(|_| {});
     assert_eq!(started(&actions), vec![]);
     let actions = bench.on(Event::Ended(running, End::Aborted));
--- a/tests/policy/orders.rs
+++ b/tests/policy/orders.rs
@@ -336,7 +336,7 @@
                     let event = ingress::Event::Fate(from.clone(), request, fate);
                     self.wires.push(Wire::ToRouter(event));
                 }
-                inbound::Action::Orphan(_)
+                inbound::Action::EndNestedCalls(_)
                 | inbound::Action::Warmup(_)
                 | inbound::Action::Limit(_)
                 | inbound::Action::Departing { .. } => {}
--- a/tests/policy/warmup.rs
+++ b/tests/policy/warmup.rs
@@ -8,9 +8,9 @@
     warmup::{
         ColdLimiter,
         Doubt,
-        RateLimit, //
+        RateLimit,
         Status,
-        Tolerance,
+        Tolerance, //
     },
 };
 use proptest::prelude::*;
