--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -10,7 +10,7 @@
     Action,
     Asker,
     Core,
-    Note, //
+    LogEvent, //
 };
 use crate::{
     clock::{
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The age of the last confirmation from which on keys are not accepted.
-    pub stale: Span,
+    pub stale_after: Span,
     /// The age from which on callers are better sent elsewhere.
-    pub ready: Span,
+    pub unready_after: Span,
     /// Retries for each first try at one pool, over the fleet.
     pub retry_ratio: f64,
     /// Retries at one pool that are free in a window, over the fleet.
@@ -77,18 +77,18 @@
     /// That window.
     pub retry_window: Span,
     /// Requests that a cold upstream may get beyond its rate.
-    pub cold: warmup::Tolerance,
+    pub cold_excess: warmup::Tolerance,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            stale: Span::from_secs(4),
-            ready: Span::from_secs(3),
+            stale_after: Span::from_secs(4),
+            unready_after: Span::from_secs(3),
             retry_ratio: 0.2,
             retry_slack: 48.0,
             retry_window: Span::from_secs(10),
-            cold: warmup::Tolerance::default(),
+            cold_excess: warmup::Tolerance::default(),
         }
     }
 }
@@ -165,9 +165,9 @@
 impl Core {
     /// Finds members and configuration in the store, from the beginning of the
     /// node on, and shares rates without owners.
-    pub fn list(&mut self, source: Source, bounds: Bounds) {
+    pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
         self.quota.lend(Bank::new(self.identity.peer.clone()));
-        self.proxy.set_cold_tolerance(bounds.cold);
+        self.proxy.set_cold_tolerance(bounds.cold_excess);
         self.listed = Some(Listed {
             bounds,
             directory: Directory::new(self.identity.peer.clone()),
@@ -188,7 +188,7 @@
     }
 
     /// Tells that the store had a record of a former life of this node.
-    pub fn begin_again(&mut self) {
+    pub fn mark_restarted(&mut self) {
         if let Some(listed) = &mut self.listed {
             listed.restarted = true;
         }
@@ -196,7 +196,7 @@
 
     /// Goes by other bounds from now on.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.proxy.set_cold_tolerance(bounds.cold);
+        self.proxy.set_cold_tolerance(bounds.cold_excess);
         if let Some(listed) = &mut self.listed {
             listed.bounds = bounds;
         }
@@ -208,12 +208,12 @@
             return self.draining.is_none();
         };
         let age = listed.follower.age(now);
-        let fresh = age.is_some_and(|age| age <= listed.bounds.ready);
+        let fresh = age.is_some_and(|age| age <= listed.bounds.unready_after);
         self.draining.is_none() && self.snapshot.version != Version(0) && fresh
     }
 
     /// The time since the version in force was certainly the newest.
-    pub fn listed_age(&self, now: Time) -> Option<Span> {
+    pub fn discovered_config_age(&self, now: Time) -> Option<Span> {
         self.listed.as_ref()?.follower.age(now)
     }
 
@@ -221,7 +221,7 @@
     pub(super) fn is_stale(&self, now: Time) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
             let age = listed.follower.age(now);
-            age.is_none_or(|age| age > listed.bounds.stale)
+            age.is_none_or(|age| age > listed.bounds.stale_after)
         })
     }
 
@@ -259,16 +259,16 @@
                     let number = self.ask(Asker::Listed, call, out);
                     listed.asked.insert(number, Task::Register);
                 }
-                Purpose::Watch => listed.subscriber.want(Topic::Members, call.after()),
+                Purpose::Watch => listed.subscriber.request(Topic::Members, call.after()),
             }
         }
         listed.begun.get_or_insert(now);
         // Members come first: they tell whom to ask for the rest.
-        if listed.directory.is_listed()
+        if listed.directory.has_listing()
             && let Some(call) = listed.follower.tick(now)
         {
             let topic = Topic::Configuration;
-            listed.subscriber.want(topic, call.after());
+            listed.subscriber.request(topic, call.after());
         }
         self.inquire(now, &mut listed, out);
         for (peer, away) in &mut listed.away {
@@ -298,15 +298,15 @@
         };
         listed.watchers = watchers;
         let age = listed.follower.age(now);
-        let stale = age.is_none_or(|age| age > listed.bounds.stale);
+        let stale = age.is_none_or(|age| age > listed.bounds.stale_after);
         if stale != listed.stale {
             listed.stale = stale;
-            out.push(Action::Note(Note::Store { stale, age }));
+            out.push(Action::Log(LogEvent::ConfigStaleness { stale, age }));
         }
         let bounds = listed.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.counted(now));
+            bank.adopt(now, until, &listed.directory.token_server_candidates(now));
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
@@ -332,13 +332,15 @@
         };
         match listed.asked.remove(&number) {
             Some(Task::Register) => {
-                listed.directory.answer(now, Purpose::Register, answer);
+                listed
+                    .directory
+                    .handle_answer(now, Purpose::Register, answer);
             }
             Some(Task::Follow { topic, after, sent }) => {
-                listed.watcher.note(topic, sent, after, &answer);
+                listed.watcher.record_answer(topic, sent, after, &answer);
                 match topic {
                     Topic::Members => {
-                        let changes = listed.directory.answer(now, Purpose::Watch, answer);
+                        let changes = listed.directory.handle_answer(now, Purpose::Watch, answer);
                         self.listed_changes(now, changes, out);
                     }
                     Topic::Configuration => {
@@ -359,22 +361,22 @@
             News::Unusable(error) => {
                 self.counts.add(Counter::Invalid);
                 let reason = error.reason().to_owned();
-                out.push(Action::Note(Note::Unusable(reason)));
+                out.push(Action::Log(LogEvent::ConfigUnusable(reason)));
             }
         }
     }
 
     fn listed_adopt(&mut self, now: Time, snapshot: document::Shared, out: &mut Vec<Action>) {
         if snapshot.version != self.snapshot.version {
-            out.push(Action::Note(Note::Adopted(snapshot.version)));
+            out.push(Action::Log(LogEvent::ConfigAdopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
                 bank.teams(now, &snapshot.teams.teams);
             }
         }
-        let age = self.listed_age(now);
+        let age = self.discovered_config_age(now);
         for (domain, order) in &snapshot.evacuations {
             if self.snapshot.evacuations.get(domain) != Some(order) {
-                out.push(Action::Note(Note::Evacuated {
+                out.push(Action::Log(LogEvent::Evacuated {
                     domain: domain.clone(),
                     order: *order,
                     age,
@@ -392,17 +394,17 @@
         }
         for change in changes {
             match change {
-                Change::Present(peer) if peer.instance == self.identity.peer.instance => {}
-                Change::Present(peer) => {
-                    out.push(Action::Note(Note::Member(peer.clone())));
+                Change::Updated(peer) if peer.instance == self.identity.peer.instance => {}
+                Change::Updated(peer) => {
+                    out.push(Action::Log(LogEvent::MemberChanged(peer.clone())));
                     self.reached(&peer.instance);
                     self.members.insert(peer);
                 }
-                Change::Gone(name) if name == self.identity.peer.instance => {}
-                Change::Gone(name) => {
+                Change::Removed(name) if name == self.identity.peer.instance => {}
+                Change::Removed(name) => {
                     self.reached(&name);
                     self.members.remove(&name);
-                    out.push(Action::Note(Note::Gone(name.clone())));
+                    out.push(Action::Log(LogEvent::MemberRemoved(name.clone())));
                     // Nobody there will answer what is still under way.
                     self.ingress(now, ingress::Event::Broken(name.clone()), out);
                     self.router.forget_instance(&name);
@@ -427,7 +429,7 @@
         let Some(listed) = &mut self.listed else {
             return;
         };
-        listed.subscriber.broken(now, peer);
+        listed.subscriber.peer_unreachable(now, peer);
         let Some(member) = self.members.get(peer).cloned() else {
             return;
         };
--- a/tests/fleet/membership.rs
+++ b/tests/fleet/membership.rs
@@ -85,7 +85,7 @@
     let now = driver.now();
     let core = driver.core(0).expect("a living node");
     let mut out = Vec::new();
-    core.on(now, Event::Broken(name(6)), &mut out);
+    core.on(now, Event::OutboundLinkLost(name(6)), &mut out);
     let serves = |core: &mut bluebellswitch::node::Core| {
         core.members()
             .serving(&pool)
@@ -258,7 +258,7 @@
     let now = driver.now();
     for node in 0..EVERYONE {
         let core = driver.core(node).expect("a living node");
-        let age = core.members().ready_for(now, &name(5)).expect("ready");
+        let age = core.members().ready_duration(now, &name(5)).expect("ready");
         let near = age >= Span::from_secs(8) && age <= Span::from_secs(10);
         assert!(near, "{node}: {age}");
     }
