--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -323,7 +323,7 @@
     }
 
     /// The purses that nested calls borrow from.
-    pub fn purses(&mut self) -> &mut Allowances {
+    pub fn allowances(&mut self) -> &mut Allowances {
         &mut self.purses
     }
 
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -105,7 +105,9 @@
         };
         let loan = match world.policy.retries {
             Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
+            Retries::Allowance => call
+                .purse(world.proxy.allowances())
+                .map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -525,7 +527,7 @@
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
-        let Some(purse) = call.purse(world.proxy.purses()) else {
+        let Some(purse) = call.purse(world.proxy.allowances()) else {
             return false;
         };
         let further = purse.remaining() > 0 && !no_retry;
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -82,7 +82,7 @@
             world.proxy.record_call_failure(now);
         }
         if let Some(parent) = call.context.parent
-            && let Some(purse) = world.proxy.purses().get_mut(&parent)
+            && let Some(purse) = world.proxy.allowances().get_mut(&parent)
         {
             purse.no_retry = true;
         }
@@ -222,7 +222,7 @@
         };
         let loan = std::mem::take(&mut attempt.loan);
         let call = self.calls.get_mut(&attempt.call);
-        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.purses())) {
+        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.allowances())) {
             purse.release(loan, spent);
         }
     }
