--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -1,9 +1,9 @@
-//! The only way to the upstream beside this node.
+//! The inbound proxy: the only way to the upstream beside this node.
 //!
-//! The [`Proxy`] knows the true number of requests in flight, so it decides
-//! admission, and it alone can say truthfully that a request was not run. A
-//! health or load endpoint of the upstream has no part in this: it may lie, lag
-//! or be stuck.
+//! The [`Proxy`] knows the exact number of requests in flight, so it decides
+//! admission, and it alone can state reliably that a request was not run. The
+//! upstream's health and load endpoints are not used for this: they may report
+//! wrong or outdated values, or hang.
 
 mod caller;
 mod memory;
@@ -22,14 +22,14 @@
 
 pub use self::caller::OutgoingCall;
 use self::{
-    caller::Makers,
+    caller::CallAttribution,
     memory::{
-        Known,
-        Memory, //
+        AttemptHistory,
+        Lookup, //
     },
-    pace::Pace,
+    pace::StartLimits,
     running::Running,
-    site::Site,
+    site::UpstreamState,
     waiting::Waiting, //
 };
 use crate::{
@@ -73,141 +73,141 @@
     },
 };
 
-/// How long a cancelled attempt that has not arrived is refused at least.
-const CANCELLED: Span = Span::from_secs(60);
+/// How long an attempt is refused, at least, whose cancellation arrived first.
+const CANCEL_RETENTION: Span = Span::from_secs(60);
 
-/// Time without an event after which this node must have been suspended: it looks
-/// at the time at least ten times a second.
-const SUSPENDED: Span = Span::from_secs(1);
+/// Time without an event after which this node must have been suspended: it ticks
+/// at least ten times per second.
+const SUSPEND_THRESHOLD: Span = Span::from_secs(1);
 
-/// How long after a call of the service failed an answer is blamed on it: the
-/// service answers within milliseconds once its call has failed.
-const BLAMED: Span = Span::from_ms(60);
+/// How long after a failed call of the service its answers are attributed to that
+/// failure: the service answers within milliseconds once its call has failed.
+const CALL_FAILURE_WINDOW: Span = Span::from_ms(60);
 
-/// How the upstream's part of an attempt ended.
+/// How the upstream finished an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It answered whole, with this status.
+    /// It sent a complete answer with this status.
     Answered(u16),
-    /// No connection could be made, so nothing was sent.
+    /// No connection to it could be opened, so nothing was sent.
     Refused,
     /// It answered that it has not run the request.
     Rejected,
-    /// It cut its answer, or gave none.
+    /// It sent an incomplete answer, or none.
     Cut,
-    /// The attempt was aborted, and the upstream works on it no longer.
+    /// The attempt was aborted and has stopped.
     Aborted,
 }
 
-/// What happens at the inbound proxy.
+/// An input of the inbound proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An attempt arrived.
     Attempt {
-        /// Its number.
+        /// Its id.
         request: id::Request,
-        /// Who sent it.
+        /// The node that sent it.
         peer: id::Instance,
-        /// The life of this node that it is for.
+        /// The incarnation of this node that it was sent to.
         life: id::Incarnation,
         /// Its route.
         route: id::Route,
-        /// What rides along.
+        /// Metadata that is passed along the call chain.
         context: Context,
         /// The idempotency record that guards it.
         claim: Option<Claim>,
     },
-    /// The upstream's part has ended: its slot is free.
+    /// The upstream has finished an attempt, which frees its slot.
     Ended(id::Request, End),
-    /// Nobody waits any longer.
+    /// The sender no longer waits for an attempt.
     Cancel(id::Instance, id::Request),
-    /// An ingress wants to know, and wants it not to begin.
+    /// An ingress asks for the state of an attempt, and that it does not start if it
+    /// has not yet.
     Revoke {
-        /// The attempt's number.
+        /// The attempt's id.
         request: id::Request,
-        /// Who asks.
+        /// The node that asks.
         peer: id::Instance,
-        /// The life of this node that the attempt was sent to.
+        /// The incarnation of this node that the attempt was sent to.
         life: id::Incarnation,
-        /// How long a late copy must still be refused.
+        /// For how long a late duplicate must still be refused.
         left: Span,
     },
     /// The link to an instance broke.
     Broken(id::Instance),
-    /// The upstream takes requests, or leaves.
+    /// Whether the upstream accepts requests.
     Ready(bool),
-    /// The upstream's health or load endpoint speaks well of it, or ill.
+    /// Whether the health or load endpoint reports the upstream as healthy.
     Health(bool),
-    /// The upstream told how many requests it runs at a time.
+    /// The number of concurrent requests that the upstream reports as its capacity.
     Capacity(Option<u32>),
-    /// The upstream told how much longer it is cold.
+    /// How much longer the upstream reports to stay cold.
     Warmup(Span),
-    /// An answer of the upstream told this.
+    /// Backpressure signals in an answer of the upstream.
     Signal {
-        /// What it told.
+        /// The signals.
         signal: Signal,
-        /// When the answered request began.
+        /// When the answered request started.
         begun: Time,
     },
-    /// This life of the upstream is there.
+    /// The upstream process that is running now.
     Upstream(id::Upstream),
-    /// Another node tells what the upstream told through a former life of this one.
+    /// A hint that another node kept from an earlier incarnation of this node.
     Hint(Hint),
-    /// The upstream announced that it leaves, or that it does not.
+    /// Whether the last announcement of the upstream says that it is leaving.
     Leaving(bool),
-    /// The node was told to stop.
+    /// The node was told to shut down.
     Drain,
-    /// Time has passed.
+    /// Runs the work that is due at this time.
     Tick,
 }
 
-/// What is to be done.
+/// An output of the inbound proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Hand the attempt to the upstream.
+    /// Send the attempt to the upstream.
     Start {
-        /// Its number.
+        /// Its id.
         request: id::Request,
-        /// What the upstream shows to make nested calls.
+        /// The token that identifies the attempt in nested calls.
         token: id::Token,
-        /// When it must have ended.
+        /// Its deadline.
         deadline: Time,
     },
-    /// Close the upstream's connection and report when that is done.
+    /// Close the connection to the upstream, and report the end when that is done.
     Abort(id::Request),
-    /// Tell the ingress that the attempt ended without an answer.
+    /// Report to the ingress that the attempt failed without an answer.
     Refuse(id::Instance, id::Request, Code, Report),
-    /// Tell the ingress that the attempt has ended.
+    /// Report to the ingress that the attempt has completed.
     Finish(id::Instance, id::Request, Report),
     /// Answer a revocation.
     Fate(id::Instance, id::Request, Fate),
-    /// The attempt is over for its callers: end the nested calls it made.
+    /// The attempt has completed or was aborted: end its nested calls.
     EndNestedCalls(id::Request),
-    /// The upstream is believed to be cold or warm from now on.
+    /// The upstream is assumed to be cold, or warm, from now on.
     Warmup(Status),
-    /// The upstream tells another limit than before.
+    /// The limit that the upstream names has changed.
     Limit(NamedLimit),
-    /// The upstream has said in an answer that it leaves; `by_hint` when to a former
-    /// life of this node.
+    /// The upstream has said in an answer that it is leaving.
     Departing {
-        /// Whether another node told.
+        /// Whether it said so to an earlier incarnation of this node.
         by_hint: bool,
     },
 }
 
-/// What the proxy consults.
+/// The state outside the proxy that it reads and updates.
 pub struct World<'a> {
     /// The configuration in force.
     pub snapshot: &'a Snapshot,
     /// The failure domain of this node.
     pub domain: &'a id::Domain,
-    /// The levels of other nodes.
+    /// The levels that other nodes reported.
     pub levels: &'a mut Levels,
-    /// Which mechanisms are in force.
+    /// Which mechanisms are enabled.
     pub policy: Policy,
-    /// Seeded randomness.
+    /// Seeded random number generator.
     pub rng: &'a mut ChaCha8Rng,
-    /// What is counted.
+    /// Metric counters.
     pub counts: &'a mut Counts,
 }
 
@@ -215,119 +215,119 @@
 #[derive(Clone, Debug)]
 pub struct Proxy {
     life: id::Incarnation,
-    site: Site,
+    upstream_state: UpstreamState,
     running: BTreeMap<id::Request, Running>,
     deadlines: BTreeSet<(Time, id::Request)>,
     tokens: BTreeMap<id::Token, id::Request>,
-    purses: Allowances,
+    allowances: Allowances,
     waiting: BTreeMap<id::Request, Waiting>,
     queue: Queue,
     limit: Concurrency,
     knee: knee::Search,
-    bound: warmup::Tolerance,
-    pace: Pace,
-    /// The life of the upstream, zero while it is not told apart, and since when.
+    cold_tolerance: warmup::Tolerance,
+    start_limits: StartLimits,
+    /// The upstream process, zero while it is unknown, and since when it is known.
     upstream: (id::Upstream, Time),
-    /// When the last event came.
-    seen: Time,
+    /// When the last event was handled.
+    last_event: Time,
     controller: Controller,
-    memory: Memory,
-    makers: Makers,
-    /// When a call of the service failed last.
-    failed: Option<Time>,
-    /// The limit that was told last, and when that was noted.
-    named: (NamedLimit, Time),
+    history: AttemptHistory,
+    call_attribution: CallAttribution,
+    /// When a call of the service last failed.
+    last_call_failure: Option<Time>,
+    /// The limit in the last [`Action::Limit`], and when it was emitted.
+    reported_limit: (NamedLimit, Time),
 }
 
 impl Proxy {
-    /// A proxy without requests, in this life of the node, for a pool's
-    /// upstream that already takes requests or not yet.
+    /// Creates the proxy for this incarnation of the node; `ready` tells whether the
+    /// upstream of the pool already accepts requests.
     pub fn new(life: id::Incarnation, pool: id::Pool, ready: bool) -> Self {
         Self {
             life,
-            site: Site::new(pool, ready),
+            upstream_state: UpstreamState::new(pool, ready),
             running: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             tokens: BTreeMap::new(),
-            purses: Allowances::new(),
+            allowances: Allowances::new(),
             waiting: BTreeMap::new(),
             queue: Queue::default(),
             limit: Concurrency::default(),
             knee: knee::Search::default(),
-            bound: warmup::Tolerance::default(),
-            pace: Pace::default(),
+            cold_tolerance: warmup::Tolerance::default(),
+            start_limits: StartLimits::default(),
             upstream: (id::Upstream::default(), Time::ZERO),
-            seen: Time::ZERO,
+            last_event: Time::ZERO,
             controller: Controller::default(),
-            memory: Memory::default(),
-            makers: Makers::default(),
-            failed: None,
-            named: (NamedLimit::Absent, Time::ZERO),
+            history: AttemptHistory::default(),
+            call_attribution: CallAttribution::default(),
+            last_call_failure: None,
+            reported_limit: (NamedLimit::Absent, Time::ZERO),
         }
     }
 
-    /// Bounds the requests at a cold upstream, over its rate.
-    pub fn set_cold_tolerance(&mut self, bound: warmup::Tolerance) {
-        self.bound = bound;
-        self.site.forget_row();
+    /// Sets by how much the requests at a cold upstream may exceed its rate.
+    pub fn set_cold_tolerance(&mut self, tolerance: warmup::Tolerance) {
+        self.cold_tolerance = tolerance;
+        self.upstream_state.invalidate_config();
     }
 
-    /// Requests in flight at the upstream, and those that wait.
+    /// The number of running and waiting attempts.
     pub fn len(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// How the upstream is used.
+    /// The current load, for the log and the metrics.
     pub(crate) fn load(&self, now: Time) -> Load {
         Load {
             running: self.running.len(),
             limit: self.slots(now),
             waiting: self.waiting.len(),
             level: self.controller.shed_importances(),
-            cold: self.pace.meter.is_cold(),
-            named: self.pace.throttle.limit(),
+            cold: self.start_limits.cold.is_cold(),
+            named: self.start_limits.throttle.limit(),
         }
     }
 
-    /// Whether nothing is in flight or waits.
+    /// Whether no attempt runs or waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the attempt waits or runs here.
+    /// Whether this attempt runs or waits here.
     pub fn holds(&self, request: id::Request) -> bool {
         self.runs(request) || self.waiting.contains_key(&request)
     }
 
-    /// Whether the attempt runs here.
+    /// Whether this attempt runs here.
     pub fn runs(&self, request: id::Request) -> bool {
         self.running.contains_key(&request)
     }
 
-    /// When the next tick has something to do.
+    /// Time of the next tick that has work to do.
     pub fn due(&self) -> Time {
         let deadline = self.deadlines.first().map_or(Time::NEVER, |(at, _)| *at);
-        let queue = self.waiting.values().map(|w| w.expires).min();
-        let moves = self.controller.overloaded() || !self.queue.is_empty();
-        let level = if moves {
+        let expiry = self.waiting.values().map(|w| w.expires).min();
+        let is_controlled = self.controller.overloaded() || !self.queue.is_empty();
+        let level = if is_controlled {
             self.controller.due()
         } else {
             Time::NEVER
         };
-        let pace = match self.queue.is_empty() {
+        let next_start = match self.queue.is_empty() {
             true => Time::NEVER,
-            false => self.pace.due(),
+            false => self.start_limits.due(),
         };
-        let queue = queue.unwrap_or(Time::NEVER);
-        deadline.min(queue).min(level).min(pace)
+        let expiry = expiry.unwrap_or(Time::NEVER);
+        deadline.min(expiry).min(level).min(next_start)
     }
 
-    /// The purses that nested calls borrow from.
+    /// The retry allowances of running attempts, which their nested calls draw from.
     pub fn allowances(&mut self) -> &mut Allowances {
-        &mut self.purses
+        &mut self.allowances
     }
 
-    /// The state that rides back on the head of this attempt's answer.
+    /// The report that is sent with the headers of this attempt's answer.
     pub fn answer(
         &mut self,
         now: Time,
@@ -335,52 +335,56 @@
         levels: &Levels,
         policy: Policy,
     ) -> Report {
-        if let Some(purse) = self.purses.get_mut(&request) {
-            purse.close();
+        if let Some(allowance) = self.allowances.get_mut(&request) {
+            allowance.close();
         }
         self.report(now, request, levels, policy)
     }
 
-    /// The state that rides back when this attempt ends.
+    /// The report that is sent when this attempt ends.
     fn report(&self, now: Time, request: id::Request, levels: &Levels, policy: Policy) -> Report {
         let running = self.running.get(&request);
         let level = running.map_or(0, |r| {
             self.level(now, &r.route, &r.context.team, levels, policy)
         });
-        let purse = self.purses.get(&request).copied().unwrap_or_default();
-        let usual = running.map_or(Span::ZERO, |r| self.site.typical(now, &r.route));
+        let allowance = self.allowances.get(&request).copied().unwrap_or_default();
+        let service = running.map_or(Span::ZERO, |r| {
+            self.upstream_state.service_time(now, &r.route)
+        });
         Report {
             level,
-            service: usual.as_ms() as u32,
-            spent: purse.spent(),
-            no_retry: purse.no_retry || self.failed.is_some_and(|at| now.since(at) <= BLAMED),
-            ..self.state(now)
+            service: service.as_ms() as u32,
+            spent: allowance.spent(),
+            no_retry: allowance.no_retry
+                || self
+                    .last_call_failure
+                    .is_some_and(|at| now.since(at) <= CALL_FAILURE_WINDOW),
+            ..self.base_report(now)
         }
     }
 
-    /// The context of the running attempt that holds this token, with the time
-    /// it has left. None once nobody waits for the attempt.
+    /// The context for nested calls of the running attempt with this token, or none
+    /// once the attempt was aborted.
     pub fn nested_context(&self, now: Time, token: id::Token) -> Option<Context> {
         let request = self.tokens.get(&token)?;
         let running = self.running.get(request)?;
-        Some(running.nested(now, *request))
+        Some(running.nested_context(now, *request))
     }
 
-    /// Remembers that the running attempt calls this route.
+    /// Records that a running attempt calls this route.
     pub fn record_call(&mut self, parent: id::Request, route: &id::Route) {
         if let Some(running) = self.running.get_mut(&parent) {
             running.record_call(route);
         }
     }
 
-    /// Remembers that a call of the service failed. The attempt that made it
-    /// will most likely fail for that, and trying it again would repeat all its
-    /// other calls.
+    /// Records that a call of the service failed. The attempt that made the call will
+    /// most likely fail because of it, and a retry would repeat all its other calls.
     pub fn record_call_failure(&mut self, now: Time) {
-        self.failed = Some(now);
+        self.last_call_failure = Some(now);
     }
 
-    /// Takes one event and adds what is to be done.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Time, event: Event, world: &mut World<'_>, out: &mut Vec<Action>) {
         self.prepare(now, world, out);
         match event {
@@ -393,116 +397,122 @@
                 claim,
             } => {
                 let waiting = Waiting::new(now, peer, route, context, claim);
-                self.attempt(now, request, life, waiting, world, out);
+                self.on_attempt(now, request, life, waiting, world, out);
             }
-            Event::Ended(request, end) => self.ended(now, request, end, world, out),
-            Event::Cancel(peer, request) => self.cancel(now, &peer, request, out),
+            Event::Ended(request, end) => self.on_ended(now, request, end, world, out),
+            Event::Cancel(peer, request) => self.on_cancel(now, &peer, request, out),
             Event::Revoke {
                 request,
                 peer,
                 life,
                 left,
             } => {
-                let fate = self.revoke(now, &peer, request, life, left, out);
+                let fate = self.on_revoke(now, &peer, request, life, left, out);
                 out.push(Action::Fate(peer, request, fate));
             }
-            Event::Broken(peer) => self.broken(now, &peer, out),
-            Event::Ready(ready) => self.ready(now, ready, world, out),
-            Event::Health(well) => self.site.well = well,
+            Event::Broken(peer) => self.on_link_broken(now, &peer, out),
+            Event::Ready(ready) => self.on_ready(now, ready, world, out),
+            Event::Health(healthy) => self.upstream_state.healthy = healthy,
             Event::Capacity(slots) => {
-                self.site.told = slots;
-                self.count_slots();
+                self.upstream_state.reported_slots = slots;
+                self.configure_slots();
             }
             Event::Warmup(left) => {
-                self.believe(out, |meter| meter.report(now, left));
+                self.update_cold_status(out, |cold| cold.report(now, left));
             }
-            Event::Signal { signal, begun } => self.signalled(now, begun, signal, world, out),
-            Event::Upstream(upstream) => self.replaced(now, upstream),
-            Event::Hint(hint) => self.hinted(now, hint, world, out),
-            Event::Leaving(leaving) => self.site.announced_leaving = leaving,
+            Event::Signal { signal, begun } => self.on_signal(now, begun, signal, world, out),
+            Event::Upstream(upstream) => self.on_upstream(now, upstream),
+            Event::Hint(hint) => self.on_hint(now, hint, world, out),
+            Event::Leaving(leaving) => self.upstream_state.announced_leaving = leaving,
             Event::Drain => {
-                self.site.draining = true;
-                self.flush(now, Code::Leaving, world, out);
+                self.upstream_state.draining = true;
+                self.refuse_waiting(now, Code::Leaving, world, out);
             }
-            Event::Tick => self.tick(now, world, out),
+            Event::Tick => self.on_tick(now, world, out),
         }
-        self.fill(now, world, out);
+        self.start_waiting(now, world, out);
     }
 
-    fn count_slots(&mut self) {
-        let slots = self.site.slots();
+    fn configure_slots(&mut self) {
+        let slots = self.upstream_state.slots();
         self.limit.configure(slots);
         self.knee.configure(slots.unwrap_or(0));
     }
 
-    /// Requests that may run at a time now.
+    /// The number of requests that may run concurrently now.
     fn slots(&self, now: Time) -> u32 {
         let limit = self.limit.current(now);
-        match self.site.slots() {
+        match self.upstream_state.slots() {
             Some(_) => limit.min(self.knee.limit()),
             None => limit,
         }
     }
 
-    /// Takes the configuration and the time that has passed into account.
+    /// Applies the current configuration and time, before an event is handled.
     fn prepare(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
-        self.site.configure(world.snapshot, self.bound);
-        self.count_slots();
-        self.pace.meter.configure(self.site.cold);
-        if self.seen != Time::ZERO && now.since(self.seen) > SUSPENDED {
-            self.doubt(now, Doubt::Suspended, out);
+        self.upstream_state
+            .configure(world.snapshot, self.cold_tolerance);
+        self.configure_slots();
+        self.start_limits
+            .cold
+            .configure(self.upstream_state.cold_limit);
+        if self.last_event != Time::ZERO && now.since(self.last_event) > SUSPEND_THRESHOLD {
+            self.suspect_cold(now, Doubt::Suspended, out);
         }
-        self.seen = now;
-        self.believe(out, |meter| meter.tick(now));
+        self.last_event = now;
+        self.update_cold_status(out, |cold| cold.tick(now));
         self.evacuate(now, world, out);
     }
 
-    /// Begins nothing more while the failure domain is evacuated. Its upstreams may
-    /// come back cold.
+    /// Applies an evacuation order, or its end, to this node's failure domain. While
+    /// the domain is evacuated nothing is started; afterwards its upstreams may be
+    /// cold.
     fn evacuate(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
         let order = world.snapshot.evacuations.get(world.domain).copied();
-        if order == self.site.evacuation {
+        if order == self.upstream_state.evacuation {
             return;
         }
-        self.site.evacuation = order;
-        match self.site.is_evacuated() {
-            true => self.flush(now, Code::Evacuated, world, out),
-            false => self.doubt(now, Doubt::Returned, out),
+        self.upstream_state.evacuation = order;
+        match self.upstream_state.is_evacuated() {
+            true => self.refuse_waiting(now, Code::Evacuated, world, out),
+            false => self.suspect_cold(now, Doubt::Returned, out),
         }
     }
 
-    /// The upstream may be cold.
-    fn doubt(&mut self, now: Time, doubt: Doubt, out: &mut Vec<Action>) {
-        self.believe(out, |meter| meter.suspect_cold(now, doubt));
+    /// Treats the upstream as possibly cold.
+    fn suspect_cold(&mut self, now: Time, doubt: Doubt, out: &mut Vec<Action>) {
+        self.update_cold_status(out, |cold| cold.suspect_cold(now, doubt));
     }
 
-    fn believe(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut ColdLimiter)) {
-        let before = self.pace.meter.status();
-        change(&mut self.pace.meter);
-        let after = self.pace.meter.status();
+    /// Changes the cold status, and reports when the kind of status is a new one.
+    fn update_cold_status(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut ColdLimiter)) {
+        let before = self.start_limits.cold.status();
+        change(&mut self.start_limits.cold);
+        let after = self.start_limits.cold.status();
         let is_new = std::mem::discriminant(&before) != std::mem::discriminant(&after);
-        if is_new && self.site.cold.is_some() {
+        if is_new && self.upstream_state.cold_limit.is_some() {
             out.push(Action::Warmup(after));
         }
     }
 
-    fn state(&self, now: Time) -> Report {
+    /// The part of a report that does not depend on the attempt.
+    fn base_report(&self, now: Time) -> Report {
         Report {
             load: self.len() as u32,
             hint: self.hint(),
-            slots: match self.pace.room(now) {
-                Some(room) => room.max(1),
-                None => self.site.shown(self.slots(now)),
+            slots: match self.start_limits.available_starts(now) {
+                Some(starts) => starts.max(1),
+                None => self.upstream_state.advertised_slots(self.slots(now)),
             },
-            leaving: self.site.leaving(),
+            leaving: self.upstream_state.leaving(),
             life: self.life,
             clock: now.as_ms(),
             ..Report::default()
         }
     }
 
-    /// The level that holds for a route and team here: this proxy's own, and
-    /// for new work also those of the routes that it will call.
+    /// The level for a route and team: that of this proxy, and if it is higher, that
+    /// of the routes that this route calls.
     fn level(
         &self,
         now: Time,
@@ -518,7 +528,7 @@
         }
     }
 
-    fn attempt(
+    fn on_attempt(
         &mut self,
         now: Time,
         request: id::Request,
@@ -528,10 +538,11 @@
         out: &mut Vec<Action>,
     ) {
         if life != self.life {
-            // The attempt is for an earlier life of this node, which has left,
-            // or a later one that has replaced it. This life has not begun it
-            // and will not; the report names this life for the next attempt.
-            let report = self.state(now);
+            // The attempt was sent to an earlier incarnation of this node, which is
+            // gone, or to a later one that has replaced this one. This incarnation
+            // has not started it and never will; the report names this incarnation
+            // for the next attempt.
+            let report = self.base_report(now);
             let peer = waiting.peer;
             out.push(Action::Refuse(peer, request, Code::Leaving, report));
             return;
@@ -540,13 +551,13 @@
             world.counts.add(Counter::Late);
             return;
         }
-        match self.memory.look(&waiting.peer, request) {
-            Known::Unseen => self.arrived(now, request, waiting, world, out),
-            Known::Revoked => self.refuse(now, request, waiting, Code::Revoked, world, out),
-            // It ran. Saying anything now could contradict what was said.
-            Known::Ended => world.counts.add(Counter::Late),
-            Known::Forgotten => {
-                let report = self.state(now);
+        match self.history.lookup(&waiting.peer, request) {
+            Lookup::Unseen => self.enqueue(now, request, waiting, world, out),
+            Lookup::Revoked => self.refuse(now, request, waiting, Code::Revoked, world, out),
+            // It ran and its end was reported. Another report could contradict that.
+            Lookup::Ended => world.counts.add(Counter::Late),
+            Lookup::Forgotten => {
+                let report = self.base_report(now);
                 out.push(Action::Refuse(
                     waiting.peer,
                     request,
@@ -557,7 +568,7 @@
         }
     }
 
-    fn cancel(
+    fn on_cancel(
         &mut self,
         now: Time,
         peer: &id::Instance,
@@ -566,16 +577,16 @@
     ) {
         if self.running.contains_key(&request) {
             self.abort(request, out);
-        } else if self.unqueue(request).is_some()
-            || self.memory.look(peer, request) == Known::Unseen
+        } else if self.remove_waiting(request).is_some()
+            || self.history.lookup(peer, request) == Lookup::Unseen
         {
-            // The cancellation may have overtaken its attempt, which must then
-            // not begin: nobody would take its answer.
-            self.memory.revoke(now, peer, request, CANCELLED);
+            // The cancellation may have arrived before its attempt, which must then
+            // not start: nobody would receive its answer.
+            self.history.revoke(now, peer, request, CANCEL_RETENTION);
         }
     }
 
-    fn revoke(
+    fn on_revoke(
         &mut self,
         now: Time,
         peer: &id::Instance,
@@ -590,61 +601,62 @@
             }
             return Fate::Running;
         }
-        let waiting = self.unqueue(request).is_some();
-        let known = self.memory.look(peer, request);
-        match known {
-            Known::Ended => Fate::Ended,
-            Known::Forgotten => Fate::Forgotten,
-            // Another life may run it; this one only knows that it does not.
-            Known::Unseen if life != self.life && !waiting => Fate::Forgotten,
-            Known::Unseen | Known::Revoked => {
-                self.memory.revoke(now, peer, request, left);
+        let waiting = self.remove_waiting(request).is_some();
+        let past = self.history.lookup(peer, request);
+        match past {
+            Lookup::Ended => Fate::Ended,
+            Lookup::Forgotten => Fate::Forgotten,
+            // Another incarnation may run it; this one only knows that it does not.
+            Lookup::Unseen if life != self.life && !waiting => Fate::Forgotten,
+            Lookup::Unseen | Lookup::Revoked => {
+                self.history.revoke(now, peer, request, left);
                 Fate::Revoked
             }
         }
     }
 
-    fn broken(&mut self, now: Time, peer: &id::Instance, out: &mut Vec<Action>) {
-        let lost = |(request, running): (&id::Request, &Running)| {
-            let theirs = running.peer == *peer && running.claim.is_none();
-            theirs.then_some(*request)
+    fn on_link_broken(&mut self, now: Time, peer: &id::Instance, out: &mut Vec<Action>) {
+        let of_peer = |(request, running): (&id::Request, &Running)| {
+            let is_abortable = running.peer == *peer && running.claim.is_none();
+            is_abortable.then_some(*request)
         };
-        let running: Vec<_> = self.running.iter().filter_map(lost).collect();
+        let running: Vec<_> = self.running.iter().filter_map(of_peer).collect();
         for request in running {
             self.abort(request, out);
         }
         let queued = |(request, w): (&id::Request, &Waiting)| (w.peer == *peer).then_some(*request);
         let queued: Vec<_> = self.waiting.iter().filter_map(queued).collect();
         for request in queued {
-            self.cancel(now, peer, request, out);
+            self.on_cancel(now, peer, request, out);
         }
     }
 
-    fn ready(&mut self, now: Time, ready: bool, world: &mut World<'_>, out: &mut Vec<Action>) {
-        if ready && !self.site.ready {
-            self.limit.start_ramp(now, self.site.ramp);
-            self.doubt(now, Doubt::Unreported, out);
+    fn on_ready(&mut self, now: Time, ready: bool, world: &mut World<'_>, out: &mut Vec<Action>) {
+        if ready && !self.upstream_state.ready {
+            self.limit.start_ramp(now, self.upstream_state.ramp);
+            self.suspect_cold(now, Doubt::Unreported, out);
         }
-        self.site.ready = ready;
-        self.site.served |= ready;
+        self.upstream_state.ready = ready;
+        self.upstream_state.was_ready |= ready;
         if !ready {
-            self.flush(now, Code::Leaving, world, out);
+            self.refuse_waiting(now, Code::Leaving, world, out);
         }
     }
 
-    fn tick(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
         while let Some((at, request)) = self.deadlines.first().copied() {
             if at > now {
                 break;
             }
             self.deadlines.pop_first();
-            self.late(now, request, world, out);
+            self.on_deadline(now, request, world, out);
         }
-        self.expire(now, world, out);
+        self.expire_waiting(now, world, out);
         self.limit.tick(now);
-        let is_full = !self.queue.is_empty() && !self.pace.is_bound();
-        self.knee.tick(now, is_full, self.site.usual());
-        self.control(now, world);
-        self.memory.tick(now);
+        let is_full = !self.queue.is_empty() && !self.start_limits.is_limited();
+        self.knee
+            .tick(now, is_full, self.upstream_state.mean_service_ms());
+        self.update_level(now, world);
+        self.history.tick(now);
     }
 }
--- a/src/request/inbound/caller.rs
+++ b/src/request/inbound/caller.rs
@@ -1,15 +1,15 @@
-//! Which running attempt made a call that names none.
+//! Attributes a service's call without a token to the running attempt that made it.
 //!
-//! A service that passes no token on still tells in two ways which of its
-//! requests made a call. It gives the call at most the time that its own request
-//! has left, so both end at the same moment, to within the time that the call
-//! was on its way. And where the calls' route bounds them more tightly than that,
-//! it sends the next call of a request over the connection on which the former
-//! one was just answered. Only the first call of a request on such a route is
-//! left to a guess.
+//! A service that does not pass on the token still gives two indications of which
+//! of its requests made a call. First, it gives the call at most the time that its
+//! own request has left, so both deadlines are equal up to the transit time of the
+//! call. Second, where the route of the calls has a shorter deadline, the service
+//! sends the next call of a request over the connection on which the previous one
+//! was just answered. Only the first call of a request on such a route has to be
+//! guessed.
 //!
-//! What is found decides in which order calls are served and shed, and nothing
-//! else: a wrong guess costs a place in a queue and lets nobody act for another.
+//! The result only affects the order in which calls are served and shed. A wrong
+//! attribution costs a position in a queue, and grants no rights.
 
 use std::collections::BTreeMap;
 
@@ -27,142 +27,152 @@
     id, //
 };
 
-/// How much earlier or later than its request a call may seem to end. Headers
-/// carry whole milliseconds, so that it may seem a little earlier; it seems
-/// later by the time that the call waited to be read, on a busy node some
-/// milliseconds.
+/// Tolerance when the deadline of a call is compared with that of an attempt. Headers
+/// carry whole milliseconds, so the call's may appear slightly earlier. It appears
+/// later by the time that the call waited to be read, several milliseconds on a busy
+/// node.
 const MAX_EARLIER: Span = Span::from_ms(2);
 const MAX_LATER: Span = Span::from_ms(12);
-/// How soon after an answer the next call of the same request follows on its
-/// connection.
+/// Time after an answer within which the next call of the same request is expected on
+/// the connection.
 const FOLLOW_UP_TIMEOUT: Span = Span::from_ms(10);
-/// The share of running attempts with more time left than any call on a route
-/// has, from which on the route bounds its calls itself.
-const MIN_BOUNDED_SHARE: f64 = 0.2;
-/// The weight of the newest call in that share.
-const BOUND_EWMA_WEIGHT: f64 = 0.05;
-/// Calls for each request of a route from which on it is known to make them.
+/// Share of running attempts with more time left than any call on a route has, from
+/// which on the route counts as having a shorter deadline of its own.
+const MIN_LONGER_SHARE: f64 = 0.2;
+/// EWMA weight of the newest call in that share.
+const LONGER_EWMA_WEIGHT: f64 = 0.05;
+/// Share of a route's requests that must call another route for it to count as a
+/// caller of that route.
 const MIN_CALL_SHARE: f64 = 0.3;
-/// Connections that are remembered. Those on which nothing was answered of late
-/// tell nothing and go first.
+/// Maximum number of tracked connections. Those whose last answer is too old to
+/// attribute a call by are dropped first.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// What tells the makers of calls.
+/// The observations that calls are attributed by.
 #[derive(Clone, Debug, Default)]
-pub struct Makers {
-    connections: BTreeMap<id::Connection, Former>,
-    routes: BTreeMap<id::Route, Bound>,
+pub struct CallAttribution {
+    connections: BTreeMap<id::Connection, LastCall>,
+    routes: BTreeMap<id::Route, RouteDeadline>,
 }
 
 /// The last call on a connection.
 #[derive(Clone, Copy, Debug)]
-struct Former {
-    maker: id::Request,
+struct LastCall {
+    attempt: id::Request,
     answered: Option<Time>,
 }
 
-/// How tightly a route bounds its calls.
+/// How the deadlines of the calls on a route compare with those of running attempts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Bound {
-    /// The most time that a call had left.
-    most: Span,
-    /// The share of running attempts that had more.
-    more: f64,
+struct RouteDeadline {
+    /// The longest time that a call had left.
+    longest_left: Span,
+    /// EWMA of the share of running attempts with more time left than that.
+    longer_share: f64,
 }
 
-/// A call of the service beside this node, as far as it tells of its maker.
+/// A call of the service beside this node, with what it can be attributed by.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingCall<'a> {
     /// Its route.
     pub route: &'a id::Route,
-    /// How long its maker waits, where it said so.
+    /// The time that it has left, if it carries a deadline.
     pub left: Option<Span>,
-    /// The connection that it came over.
+    /// The connection that it arrived on.
     pub connection: id::Connection,
 }
 
 impl Proxy {
-    /// Finds the attempt that made a call, and gives the call to it. Returns the
-    /// attempt's context as it is now.
+    /// Finds the attempt that made a call and records the call there. Returns the
+    /// attempt, and the context for its nested calls.
     pub fn attribute_call(
         &mut self,
         now: Time,
-        made: OutgoingCall<'_>,
+        call: OutgoingCall<'_>,
         levels: &Levels,
     ) -> Option<(id::Request, Context)> {
-        let bounded = self.bounded(now, made);
-        let by_end = || {
-            let left = made.left.filter(|_| !bounded)?;
-            self.by_end(now + left)
+        let has_own_deadline = self.has_own_deadline(now, call);
+        let matching_deadline = || {
+            let left = call.left.filter(|_| !has_own_deadline)?;
+            self.by_deadline(now + left)
         };
-        let request = by_end()
-            .or_else(|| self.by_connection(now, made.connection))
-            .or_else(|| self.by_start(made.route, levels))?;
-        let former = Former {
-            maker: request,
+        let request = matching_deadline()
+            .or_else(|| self.by_connection(now, call.connection))
+            .or_else(|| self.by_start(call.route, levels))?;
+        let last_call = LastCall {
+            attempt: request,
             answered: None,
         };
-        self.makers.remember(now, made.connection, former);
+        self.call_attribution.track(now, call.connection, last_call);
         let running = self.running.get_mut(&request)?;
-        running.record_call(made.route);
-        Some((request, running.nested(now, request)))
+        running.record_call(call.route);
+        Some((request, running.nested_context(now, request)))
     }
 
-    /// A call that was given to an attempt has been answered.
+    /// Records that a call that was attributed to an attempt has been answered.
     pub fn record_call_answered(
         &mut self,
         now: Time,
-        maker: id::Request,
+        attempt: id::Request,
         connection: id::Connection,
     ) {
-        let former = self.makers.connections.get_mut(&connection);
-        if let Some(former) = former.filter(|former| former.maker == maker) {
-            former.answered = Some(now);
+        let last_call = self.call_attribution.connections.get_mut(&connection);
+        if let Some(last_call) = last_call.filter(|last_call| last_call.attempt == attempt) {
+            last_call.answered = Some(now);
         }
     }
 
-    /// Whether the route bounds its calls more tightly than the attempts that
-    /// may make them, so that their ends tell nothing.
-    fn bounded(&mut self, now: Time, made: OutgoingCall<'_>) -> bool {
-        let bound = self.makers.routes.entry(made.route.clone()).or_default();
-        let Some(left) = made.left else {
+    /// Whether the route gives its calls a shorter deadline than the attempts that may
+    /// have made them, so that calls can't be matched by deadline. Also true for a call
+    /// without a deadline.
+    fn has_own_deadline(&mut self, now: Time, call: OutgoingCall<'_>) -> bool {
+        let deadline = self
+            .call_attribution
+            .routes
+            .entry(call.route.clone())
+            .or_default();
+        let Some(left) = call.left else {
             return true;
         };
-        bound.most = bound.most.max(left);
+        deadline.longest_left = deadline.longest_left.max(left);
         let all = self.running.len().max(1) as f64;
-        let longest = now + bound.most + MAX_LATER;
-        let more = self.running.values().filter(|r| r.ends() > longest).count() as f64;
-        bound.more += (more / all - bound.more) * BOUND_EWMA_WEIGHT;
-        bound.more >= MIN_BOUNDED_SHARE
+        let longest = now + deadline.longest_left + MAX_LATER;
+        let longer = self
+            .running
+            .values()
+            .filter(|r| r.deadline() > longest)
+            .count() as f64;
+        deadline.longer_share += (longer / all - deadline.longer_share) * LONGER_EWMA_WEIGHT;
+        deadline.longer_share >= MIN_LONGER_SHARE
     }
 
-    /// The attempt that ends nearest to a call.
-    fn by_end(&self, end: Time) -> Option<id::Request> {
-        let near = self.active().filter_map(|(request, running)| {
-            let ends = running.ends();
-            let fits = end.until(ends) <= MAX_EARLIER && end.since(ends) <= MAX_LATER;
-            fits.then(|| (end.since(ends).max(end.until(ends)), *request))
+    /// The attempt whose deadline is nearest to that of a call, within the tolerance.
+    fn by_deadline(&self, deadline: Time) -> Option<id::Request> {
+        let matching = self.active().filter_map(|(request, running)| {
+            let own = running.deadline();
+            let matches = deadline.until(own) <= MAX_EARLIER && deadline.since(own) <= MAX_LATER;
+            matches.then(|| (deadline.since(own).max(deadline.until(own)), *request))
         });
-        near.min().map(|(_, request)| request)
+        matching.min().map(|(_, request)| request)
     }
 
-    /// The attempt whose former call was answered on this connection just now.
+    /// The attempt whose previous call was just answered on this connection.
     fn by_connection(&self, now: Time, connection: id::Connection) -> Option<id::Request> {
-        let former = self.makers.connections.get(&connection)?;
-        let just = now.since(former.answered?) <= FOLLOW_UP_TIMEOUT;
-        let running = self.running.get(&former.maker)?;
-        (just && !running.is_aborted()).then_some(former.maker)
+        let last_call = self.call_attribution.connections.get(&connection)?;
+        let is_recent = now.since(last_call.answered?) <= FOLLOW_UP_TIMEOUT;
+        let running = self.running.get(&last_call.attempt)?;
+        (is_recent && !running.is_aborted()).then_some(last_call.attempt)
     }
 
-    /// The youngest attempt that has made no call yet, of a route that is known
-    /// to make such calls if any is: services make their first one soon after
-    /// they begin.
+    /// The most recently started attempt, preferring routes that are known to make such
+    /// calls, and then attempts that have not called this route yet: services make
+    /// their first call soon after they start.
     fn by_start(&self, route: &id::Route, levels: &Levels) -> Option<id::Request> {
-        let fits = |running: &Running| {
-            let known = levels.call_share(&running.route, route) >= MIN_CALL_SHARE;
-            (known, !running.has_called(route), running.begun())
+        let preference = |running: &Running| {
+            let is_caller = levels.call_share(&running.route, route) >= MIN_CALL_SHARE;
+            (is_caller, !running.has_called(route), running.started())
         };
-        let best = self.active().max_by_key(|(_, running)| fits(running));
+        let best = self.active().max_by_key(|(_, running)| preference(running));
         best.map(|(request, _)| *request)
     }
 
@@ -172,18 +182,18 @@
     }
 }
 
-impl Makers {
-    fn remember(&mut self, now: Time, connection: id::Connection, former: Former) {
+impl CallAttribution {
+    fn track(&mut self, now: Time, connection: id::Connection, last_call: LastCall) {
         if self.connections.len() >= MAX_CONNECTIONS {
-            let tells = |former: &Former| {
-                former
+            let is_usable = |last_call: &LastCall| {
+                last_call
                     .answered
                     .is_none_or(|at| now.since(at) <= FOLLOW_UP_TIMEOUT)
             };
-            self.connections.retain(|_, former| tells(former));
+            self.connections.retain(|_, last_call| is_usable(last_call));
         }
         if self.connections.len() < MAX_CONNECTIONS {
-            self.connections.insert(connection, former);
+            self.connections.insert(connection, last_call);
         }
     }
 }
--- a/src/request/inbound/memory.rs
+++ b/src/request/inbound/memory.rs
@@ -1,14 +1,15 @@
-//! What became of attempts that this inbound proxy holds no longer.
+//! History of the attempts that this inbound proxy no longer holds.
 //!
-//! The memory answers two questions truthfully. May an attempt that arrives be
-//! started? Not if it was started, refused or revoked before: a copy may come
-//! late, over another link, or after its revocation. And what became of an
-//! attempt that an ingress asks for? Never begun, ended, or forgotten.
+//! It answers two questions. May an arriving attempt be started? Not if it was
+//! started, refused or revoked before: a duplicate may arrive late, over another
+//! link, or after its revocation. And what happened to an attempt that an ingress
+//! asks for: was it never started, has it ended, or is it unknown?
 //!
-//! An entry ends after its time, or earlier for want of room. Its number then
-//! raises the floor of its sender's life: whatever is not above the floor and
-//! not remembered counts as forgotten, and is never started. So the memory is
-//! bounded, and what it forgets makes answers less certain, never wrong.
+//! An entry is dropped after its retention time, or earlier when the history is
+//! full. Its sequence number then raises the floor of its sender's incarnation: an
+//! attempt at or below the floor without an entry counts as forgotten, and is never
+//! started. This bounds the memory used. A dropped entry makes answers less
+//! certain, but never wrong.
 
 use std::collections::{
     BTreeMap,
@@ -24,25 +25,27 @@
     id, //
 };
 
-/// The shortest memory. It covers the time that a link needs to be found broken
-/// and made again.
-const KEEP: Span = Span::from_secs(30);
-/// Attempts remembered at most.
-const ROOM: usize = 32_768;
+/// Minimum retention time. It covers the time in which a broken link is detected and
+/// established again.
+const MIN_RETENTION: Span = Span::from_secs(30);
+/// Maximum number of entries.
+const MAX_ENTRIES: usize = 32_768;
 
-/// What is known of an attempt that is neither queued nor running.
+/// What the history tells of an attempt that neither waits nor runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
-    /// It never arrived here.
+pub enum Lookup {
+    /// It has not arrived.
     Unseen,
-    /// It was not begun, and never will be.
+    /// It was not started, and never will be.
     Revoked,
-    /// It was begun, and has ended.
+    /// It was started, and has ended.
     Ended,
-    /// It cannot be told.
+    /// Unknown: its entry may have been dropped.
     Forgotten,
 }
 
+/// The newest incarnation of a sender with a dropped entry, and the highest sequence
+/// number among its dropped entries.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     incarnation: id::Incarnation,
@@ -56,69 +59,70 @@
     until: Time,
 }
 
-/// The memory of one life of an inbound proxy.
+/// The history of one incarnation of an inbound proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct AttemptHistory {
     entries: BTreeMap<id::Request, Entry>,
-    order: BTreeSet<(Time, id::Request)>,
+    expiry: BTreeSet<(Time, id::Request)>,
     senders: BTreeMap<id::Instance, Sender>,
 }
 
-impl Memory {
-    /// What is known of an attempt that `peer` sent.
-    pub fn look(&self, peer: &id::Instance, request: id::Request) -> Known {
+impl AttemptHistory {
+    /// Looks up an attempt that `peer` sent.
+    pub fn lookup(&self, peer: &id::Instance, request: id::Request) -> Lookup {
         match self.entries.get(&request).map(|entry| entry.fate) {
-            Some(Fate::Revoked) => return Known::Revoked,
-            Some(_) => return Known::Ended,
+            Some(Fate::Revoked) => return Lookup::Revoked,
+            Some(_) => return Lookup::Ended,
             None => {}
         }
         let Some(sender) = self.senders.get(peer) else {
-            return Known::Unseen;
+            return Lookup::Unseen;
         };
-        let old = request.incarnation < sender.incarnation;
-        let low = request.incarnation == sender.incarnation && request.sequence <= sender.floor;
-        match old || low {
-            true => Known::Forgotten,
-            false => Known::Unseen,
+        let is_older = request.incarnation < sender.incarnation;
+        let is_below =
+            request.incarnation == sender.incarnation && request.sequence <= sender.floor;
+        match is_older || is_below {
+            true => Lookup::Forgotten,
+            false => Lookup::Unseen,
         }
     }
 
-    /// Remembers that it was not begun, at least for `left`.
+    /// Records that it was not started, and keeps that for at least `left`.
     pub fn revoke(&mut self, now: Time, peer: &id::Instance, request: id::Request, left: Span) {
-        self.remember(peer, request, Fate::Revoked, now + left.max(KEEP));
+        self.insert_entry(peer, request, Fate::Revoked, now + left.max(MIN_RETENTION));
     }
 
-    /// Remembers that it was begun and has ended.
+    /// Records that it was started and has ended.
     pub fn end(&mut self, now: Time, peer: &id::Instance, request: id::Request) {
-        self.remember(peer, request, Fate::Ended, now + KEEP);
+        self.insert_entry(peer, request, Fate::Ended, now + MIN_RETENTION);
     }
 
-    /// Forgets what has had its time, or has no room.
+    /// Drops expired entries, and the earliest to expire while there are too many.
     pub fn tick(&mut self, now: Time) {
-        while let Some((until, request)) = self.order.first().copied() {
-            if until > now && self.order.len() <= ROOM {
+        while let Some((until, request)) = self.expiry.first().copied() {
+            if until > now && self.expiry.len() <= MAX_ENTRIES {
                 return;
             }
-            self.order.pop_first();
+            self.expiry.pop_first();
             if let Some(entry) = self.entries.remove(&request) {
-                self.raise(&entry.peer, request);
+                self.raise_floor(&entry.peer, request);
             }
         }
     }
 
-    fn remember(&mut self, peer: &id::Instance, request: id::Request, fate: Fate, until: Time) {
+    fn insert_entry(&mut self, peer: &id::Instance, request: id::Request, fate: Fate, until: Time) {
         let entry = Entry {
             fate,
             peer: peer.clone(),
             until,
         };
-        if let Some(before) = self.entries.insert(request, entry) {
-            self.order.remove(&(before.until, request));
+        if let Some(previous) = self.entries.insert(request, entry) {
+            self.expiry.remove(&(previous.until, request));
         }
-        self.order.insert((until, request));
+        self.expiry.insert((until, request));
     }
 
-    fn raise(&mut self, peer: &id::Instance, request: id::Request) {
+    fn raise_floor(&mut self, peer: &id::Instance, request: id::Request) {
         let sender = self.senders.entry(peer.clone()).or_insert(Sender {
             incarnation: request.incarnation,
             floor: id::Sequence(0),
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -1,7 +1,7 @@
-//! Attempts that the upstream works on.
+//! Attempts that run at the upstream.
 //!
-//! A slot is free only when the upstream has really stopped: an attempt that
-//! was aborted keeps its slot until its end is reported.
+//! A slot is freed only when the upstream has really stopped: an aborted attempt
+//! keeps its slot until its end is reported.
 
 use rand::RngExt;
 
@@ -29,31 +29,31 @@
     warmup::Doubt, //
 };
 
-/// One attempt at the upstream.
+/// One running attempt.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// Who sent it.
+    /// The node that sent it.
     pub peer: id::Instance,
     /// Its route.
     pub route: id::Route,
-    /// What came along.
+    /// The metadata that came with it.
     pub context: Context,
     /// The idempotency record that guards it.
     pub claim: Option<Claim>,
     token: id::Token,
-    begun: Time,
+    started: Time,
     deadline: Time,
     root: Time,
-    /// The turn of the search for the knee in which it took the last slot.
-    turn: Option<knee::Phase>,
-    /// Nobody waits for it: its end is not told.
+    /// The phase of the knee search that it is a sample of, if it took the last slot.
+    phase: Option<knee::Phase>,
+    /// Its sender no longer waits, so its end is not reported.
     aborted: bool,
     called: Vec<id::Route>,
 }
 
 impl Running {
-    /// The context of a call that this attempt makes.
-    pub fn nested(&self, now: Time, request: id::Request) -> Context {
+    /// The context for nested calls of this attempt.
+    pub fn nested_context(&self, now: Time, request: id::Request) -> Context {
         Context {
             left: now.until(self.deadline),
             age: now.since(self.root),
@@ -62,17 +62,17 @@
         }
     }
 
-    /// When it must have ended.
-    pub(super) fn ends(&self) -> Time {
+    /// Its deadline.
+    pub(super) fn deadline(&self) -> Time {
         self.deadline
     }
 
     /// When it was started.
-    pub(super) fn begun(&self) -> Time {
-        self.begun
+    pub(super) fn started(&self) -> Time {
+        self.started
     }
 
-    /// Whether nobody waits for it any more.
+    /// Whether it was aborted.
     pub(super) fn is_aborted(&self) -> bool {
         self.aborted
     }
@@ -82,7 +82,7 @@
         self.called.contains(route)
     }
 
-    /// Remembers that it calls this route.
+    /// Records that it calls this route.
     pub fn record_call(&mut self, route: &id::Route) {
         if !self.has_called(route) {
             self.called.push(route.clone());
@@ -91,21 +91,26 @@
 }
 
 impl Proxy {
-    /// Starts what has a slot.
-    pub(super) fn fill(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
-        let most = match world.policy.admission {
+    /// Starts waiting attempts while there are free slots and the start limits allow it.
+    pub(super) fn start_waiting(
+        &mut self,
+        now: Time,
+        world: &mut World<'_>,
+        out: &mut Vec<Action>,
+    ) {
+        let max_running = match world.policy.admission {
             Admission::Open => usize::MAX,
             _ => self.slots(now) as usize,
         };
-        let most = match self.site.is_evacuated() {
+        let max_running = match self.upstream_state.is_evacuated() {
             true => 0,
-            false => most,
+            false => max_running,
         };
-        while self.running.len() < most && self.pace.allows(now) {
+        while self.running.len() < max_running && self.start_limits.allows(now) {
             let Some((request, waiting)) = self.next(world.policy) else {
                 return;
             };
-            match self.fit(now, &waiting, world) {
+            match self.check_startable(now, &waiting, world) {
                 Ok(()) => self.start(now, request, waiting, world, out),
                 Err(code) => self.refuse(now, request, waiting, code, world, out),
             }
@@ -121,25 +126,25 @@
         out: &mut Vec<Action>,
     ) {
         let token = id::Token(world.rng.random());
-        let weight = world.snapshot.teams.team(&waiting.context.team);
-        let weight = weight.map_or(1, |team| team.weight.0);
+        let team = world.snapshot.teams.team(&waiting.context.team);
+        let weight = team.map_or(1, |team| team.weight.0);
         self.queue.record_start(&waiting.context.team, weight);
-        self.site.started(now);
+        self.upstream_state.record_start(now);
         let kind = match waiting.context.depth {
             0 => Kind::Root,
             _ => Kind::Nested,
         };
         world.counts.add(Counter::Started(kind));
-        if self.pace.meter.is_cold() {
+        if self.start_limits.cold.is_cold() {
             world.counts.add(Counter::ColdStarted);
         }
-        if self.pace.throttle.limit().is_some() {
+        if self.start_limits.throttle.limit().is_some() {
             world.counts.add(Counter::LimitedStarted);
         }
-        self.pace.take(now);
+        self.start_limits.record_start(now);
         self.tokens.insert(token, request);
-        let purse = Allowance::new(waiting.context.allowance);
-        self.purses.insert(request, purse);
+        let allowance = Allowance::new(waiting.context.allowance);
+        self.allowances.insert(request, allowance);
         self.deadlines.insert((waiting.deadline, request));
         let deadline = waiting.deadline;
         let running = Running {
@@ -148,10 +153,10 @@
             context: waiting.context,
             claim: waiting.claim,
             token,
-            begun: now,
+            started: now,
             deadline,
             root: waiting.root,
-            turn: self.knee.start_phase(self.running.len() as u32 + 1),
+            phase: self.knee.start_phase(self.running.len() as u32 + 1),
             aborted: false,
             called: Vec::new(),
         };
@@ -163,7 +168,7 @@
         });
     }
 
-    /// Nobody waits any longer: the upstream is told to stop.
+    /// Aborts an attempt whose sender no longer waits.
     pub(super) fn abort(&mut self, request: id::Request, out: &mut Vec<Action>) {
         let Some(running) = self.running.get_mut(&request) else {
             return;
@@ -178,8 +183,8 @@
         out.push(Action::Abort(request));
     }
 
-    /// The deadline has passed while the upstream works.
-    pub(super) fn late(
+    /// Handles a deadline that has passed while the attempt runs.
+    pub(super) fn on_deadline(
         &mut self,
         now: Time,
         request: id::Request,
@@ -199,8 +204,8 @@
         }
     }
 
-    /// The upstream has stopped: the slot is free.
-    pub(super) fn ended(
+    /// Handles the end of an attempt, which frees its slot.
+    pub(super) fn on_ended(
         &mut self,
         now: Time,
         request: id::Request,
@@ -215,42 +220,45 @@
         };
         self.deadlines.remove(&(running.deadline, request));
         self.tokens.remove(&running.token);
-        self.purses.remove(&request);
+        self.allowances.remove(&request);
         match end {
             End::Refused | End::Rejected => {
-                self.memory
+                self.history
                     .revoke(now, &running.peer, request, now.until(running.deadline))
             }
-            _ => self.memory.end(now, &running.peer, request),
+            _ => self.history.end(now, &running.peer, request),
         }
         match end {
             End::Answered(_) => {
-                let took = now.since(running.begun);
+                let took = now.since(running.started);
                 self.limit.record_served(took, in_flight);
-                if let Some(turn) = running.turn {
-                    self.knee.record_served(turn, &running.route, took);
+                if let Some(phase) = running.phase {
+                    self.knee.record_served(phase, &running.route, took);
                 }
-                // A time beyond its own deadline says that this node slept, or
-                // that nobody waited; it is not how long the route takes.
+                // A service time beyond the deadline means that this node was
+                // suspended, or that the attempt was not cancelled; it doesn't show
+                // how long the route takes.
                 if now <= running.deadline {
-                    self.site.took(now, &running.route, took);
+                    self.upstream_state
+                        .record_service_time(now, &running.route, took);
                 }
                 world.levels.record_calls(&running.route, &running.called);
             }
             End::Refused => {
                 self.limit.record_refused();
-                self.doubt(now, Doubt::Refused, out);
+                self.suspect_cold(now, Doubt::Refused, out);
             }
             End::Rejected | End::Cut | End::Aborted => {}
         }
         if !running.aborted {
             out.push(Action::EndNestedCalls(request));
-            out.push(told(running.peer, request, end, report));
+            out.push(end_action(running.peer, request, end, report));
         }
     }
 }
 
-fn told(peer: id::Instance, request: id::Request, end: End, report: Report) -> Action {
+/// The action that reports the end of an attempt to its sender.
+fn end_action(peer: id::Instance, request: id::Request, end: End, report: Report) -> Action {
     match end {
         End::Answered(_) => Action::Finish(peer, request, report),
         End::Refused => Action::Refuse(peer, request, Code::UpstreamRefused, report),
--- a/src/request/inbound/signal.rs
+++ b/src/request/inbound/signal.rs
@@ -1,4 +1,5 @@
-//! What the upstream tells in its answers, and what other nodes keep of that.
+//! Backpressure signals of the upstream, and the hints that other nodes keep of
+//! them.
 
 use super::{
     Action,
@@ -20,34 +21,41 @@
     metric::Counter, //
 };
 
-/// Time between two notes of a limit, at least.
-const LIMIT_NOTE_INTERVAL: Span = Span::from_secs(1);
+/// Minimum time between two reports of a changed limit.
+const LIMIT_REPORT_INTERVAL: Span = Span::from_secs(1);
 
 impl Proxy {
-    /// Another life of the upstream knows nothing of what the former one told.
-    pub(super) fn replaced(&mut self, now: Time, upstream: id::Upstream) {
+    /// Drops what an earlier process of the upstream signalled when a new one is there.
+    pub(super) fn on_upstream(&mut self, now: Time, upstream: id::Upstream) {
         if self.upstream.0 != upstream {
             self.upstream = (upstream, now);
-            self.pace.throttle.reset();
-            self.site.departing = false;
-            self.site.announced_leaving = false;
+            self.start_limits.throttle.reset();
+            self.upstream_state.departing = false;
+            self.upstream_state.announced_leaving = false;
         }
     }
 
-    /// Whether callers elsewhere may be told to send work here.
+    /// Whether other nodes may be told that this upstream accepts requests.
     pub fn is_offered(&self) -> bool {
-        self.site.ready && !self.site.departing
+        self.upstream_state.ready && !self.upstream_state.departing
     }
 
-    /// The upstream leaves. Its announcement may come later, or never.
-    fn depart(&mut self, now: Time, by_hint: bool, world: &mut World<'_>, out: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.site.departing, true) {
+    /// Marks the upstream as leaving and refuses the waiting attempts. Its announcement
+    /// may follow later, or never.
+    fn set_leaving(
+        &mut self,
+        now: Time,
+        by_hint: bool,
+        world: &mut World<'_>,
+        out: &mut Vec<Action>,
+    ) {
+        if !std::mem::replace(&mut self.upstream_state.departing, true) {
             out.push(Action::Departing { by_hint });
-            self.flush(now, Code::Leaving, world, out);
+            self.refuse_waiting(now, Code::Leaving, world, out);
         }
     }
 
-    pub(super) fn hinted(
+    pub(super) fn on_hint(
         &mut self,
         now: Time,
         hint: Hint,
@@ -56,24 +64,24 @@
     ) {
         let is_known = hint.upstream != id::Upstream::default();
         if is_known && hint.upstream == self.upstream.0 {
-            self.pace.throttle.apply_hint(now, hint.limit);
-            self.note_limit(now, self.limit(), out);
+            self.start_limits.throttle.apply_hint(now, hint.limit);
+            self.report_limit(now, self.limit(), out);
             if hint.leaving {
-                self.depart(now, true, world, out);
+                self.set_leaving(now, true, world, out);
             }
         }
     }
 
-    /// The limit in force.
+    /// The limit that is enforced now.
     fn limit(&self) -> Limit {
-        let limit = self.pace.throttle.limit();
+        let limit = self.start_limits.throttle.limit();
         limit.map_or(Limit::Absent, Limit::Named)
     }
 
-    /// What other nodes keep of the upstream.
+    /// The hint about this upstream that other nodes keep.
     pub(super) fn hint(&self) -> Option<Hint> {
-        let limit = self.pace.throttle.limit();
-        let leaving = self.site.departing || self.site.announced_leaving;
+        let limit = self.start_limits.throttle.limit();
+        let leaving = self.upstream_state.departing || self.upstream_state.announced_leaving;
         (leaving || limit.is_some()).then_some(Hint {
             upstream: self.upstream.0,
             limit,
@@ -81,48 +89,50 @@
         })
     }
 
-    /// Takes a health probe out of what the upstream may get. Returns whether there
-    /// is room for it.
+    /// Counts a health probe against the start limits, if they allow one now. Returns
+    /// whether they do.
     pub fn start_probe(&mut self, now: Time) -> bool {
-        let is_allowed = self.pace.allows(now);
+        let is_allowed = self.start_limits.allows(now);
         if is_allowed {
-            self.pace.take(now);
+            self.start_limits.record_start(now);
         }
         is_allowed
     }
 
-    pub(super) fn signalled(
+    pub(super) fn on_signal(
         &mut self,
         now: Time,
-        begun: Time,
+        started: Time,
         signal: Signal,
         world: &mut World<'_>,
         out: &mut Vec<Action>,
     ) {
-        // A former life of the upstream may have answered.
-        if begun < self.upstream.1 {
+        // The answer may be from an earlier process of the upstream.
+        if started < self.upstream.1 {
             return;
         }
         if signal.limit == Limit::Unreadable {
             world.counts.add(Counter::LimitUnreadable);
         }
-        self.pace.throttle.observe(now, begun, signal.limit);
-        let news = match signal.limit {
+        self.start_limits
+            .throttle
+            .observe(now, started, signal.limit);
+        let reported = match signal.limit {
             Limit::Unreadable => signal.limit,
             _ => self.limit(),
         };
-        self.note_limit(now, news, out);
+        self.report_limit(now, reported, out);
         if signal.leaving {
-            self.depart(now, false, world, out);
+            self.set_leaving(now, false, world, out);
         }
     }
 
-    /// Notes a limit that is news, once a second at most. Each answer brings it here, so
-    /// the last one is noted in the end.
-    fn note_limit(&mut self, now: Time, limit: Limit, out: &mut Vec<Action>) {
-        let (before, noted) = self.named;
-        if limit != before && now.since(noted) >= LIMIT_NOTE_INTERVAL {
-            self.named = (limit, now);
+    /// Reports a changed limit, at most once per second. Every answer calls this, so the
+    /// last change is always reported in the end.
+    fn report_limit(&mut self, now: Time, limit: Limit, out: &mut Vec<Action>) {
+        let (previous, reported_at) = self.reported_limit;
+        if limit != previous && now.since(reported_at) >= LIMIT_REPORT_INTERVAL {
+            self.reported_limit = (limit, now);
             out.push(Action::Limit(limit));
         }
     }
--- a/src/request/inbound/site.rs
+++ b/src/request/inbound/site.rs
@@ -1,4 +1,4 @@
-//! What an inbound proxy knows of its pool and its upstream.
+//! The configuration of the pool and the state of its upstream.
 
 use std::collections::BTreeMap;
 
@@ -15,106 +15,108 @@
     warmup, //
 };
 
-/// The weight of the newest answer in the usual time of service.
+/// EWMA weight of the newest answer in the mean service time.
 const SERVICE_EWMA_WEIGHT: f64 = 0.1;
 
-/// How much smaller an upstream looks that its endpoint speaks ill of.
+/// Divisor on the slots that are advertised for an unhealthy upstream.
 const UNHEALTHY_DIVISOR: u32 = 4;
 
-/// The pool's bounds in force, and the upstream's state.
+/// The pool's configuration in force, and the state of the upstream beside this
+/// node.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct UpstreamState {
     pool: id::Pool,
     version: Option<id::Version>,
-    /// Requests that the upstream runs at a time, when configured.
+    /// Concurrent requests of the upstream, if configured.
     pub slots: Option<u32>,
-    /// Requests that may wait.
-    pub queue: u32,
-    /// The queue delay that is aimed at.
-    pub delay: Span,
-    /// Requests that the upstream says it runs at a time.
-    pub told: Option<u32>,
-    /// Time over which a new upstream's share grows.
+    /// Maximum length of the queue.
+    pub max_queue: u32,
+    /// The queue delay that the level is controlled for.
+    pub target_delay: Span,
+    /// Concurrent requests that the upstream reports as its capacity.
+    pub reported_slots: Option<u32>,
+    /// Time over which the limit of a new upstream is ramped up.
     pub ramp: Span,
-    /// How fast a cold upstream takes requests, when configured.
-    pub cold: Option<warmup::RateLimit>,
-    /// The last order on the failure domain of this node.
+    /// Rate limit of a cold upstream, if configured.
+    pub cold_limit: Option<warmup::RateLimit>,
+    /// The last evacuation order for the failure domain of this node.
     pub evacuation: Option<Evacuation>,
-    /// The upstream takes requests.
+    /// The upstream accepts requests.
     pub ready: bool,
-    /// An answer of the upstream said that it leaves, which holds for its life.
+    /// An answer of the upstream said that it is leaving, which holds until another
+    /// upstream process is there.
     pub departing: bool,
-    /// Its last announcement said that it leaves.
+    /// Its last announcement said that it is leaving.
     pub announced_leaving: bool,
-    /// What its health or load endpoint says of it.
-    pub well: bool,
-    /// The upstream has taken requests at some time.
-    pub served: bool,
-    /// The node was told to stop.
+    /// What its health or load endpoint reports.
+    pub healthy: bool,
+    /// The upstream was ready at some time.
+    pub was_ready: bool,
+    /// The node was told to shut down.
     pub draining: bool,
-    typical: f64,
-    routes: BTreeMap<id::Route, Usual>,
+    mean_service_ms: f64,
+    service_times: BTreeMap<id::Route, ServiceTime>,
     last_start: Time,
 }
 
-/// What was learnt of a route's time of service.
+/// The mean service time of a route, and when it was last updated.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
-    ms: f64,
-    at: Time,
+struct ServiceTime {
+    mean_ms: f64,
+    updated: Time,
 }
 
-/// Time for which a usual time of service counts without being confirmed.
+/// How long a mean service time is used without an update.
 const SERVICE_TIMEOUT: Span = Span::from_ms(500);
 
-impl Site {
-    /// A site whose row is not known yet.
+impl UpstreamState {
+    /// Creates the state before any configuration is known.
     pub fn new(pool: id::Pool, ready: bool) -> Self {
         Self {
             pool,
             version: None,
             slots: None,
-            told: None,
-            queue: 0,
-            delay: Span::ZERO,
+            reported_slots: None,
+            max_queue: 0,
+            target_delay: Span::ZERO,
             ramp: Span::ZERO,
-            cold: None,
+            cold_limit: None,
             evacuation: None,
             ready,
             departing: false,
             announced_leaving: false,
-            well: true,
-            served: ready,
+            healthy: true,
+            was_ready: ready,
             draining: false,
-            typical: 0.0,
-            routes: BTreeMap::new(),
+            mean_service_ms: 0.0,
+            service_times: BTreeMap::new(),
             last_start: Time::ZERO,
         }
     }
 
-    /// Reads the pool's row, when the configuration is a new one.
-    pub fn configure(&mut self, snapshot: &Snapshot, bound: warmup::Tolerance) {
+    /// Applies the pool's configuration, if the snapshot has a new version.
+    pub fn configure(&mut self, snapshot: &Snapshot, tolerance: warmup::Tolerance) {
         if self.version == Some(snapshot.version) {
             return;
         }
         self.version = Some(snapshot.version);
         if let Some(row) = snapshot.tables.pool(&self.pool) {
             self.slots = row.slots;
-            self.queue = row.queue;
-            self.delay = row.delay;
+            self.max_queue = row.queue;
+            self.target_delay = row.delay;
             self.ramp = row.ramp;
-            self.cold = bound.rate_limit(row);
+            self.cold_limit = tolerance.rate_limit(row);
         }
     }
 
-    /// Reads the pool's row again with the next event.
-    pub fn forget_row(&mut self) {
+    /// Makes the next event apply the pool's configuration again.
+    pub fn invalidate_config(&mut self) {
         self.version = None;
     }
 
-    /// The slots, by the upstream's own word before the pool's row.
+    /// The slots; those that the upstream reports override the configured ones.
     pub fn slots(&self) -> Option<u32> {
-        self.told.or(self.slots)
+        self.reported_slots.or(self.slots)
     }
 
     /// Whether the failure domain of this node is evacuated.
@@ -122,73 +124,75 @@
         self.evacuation.is_some_and(|order| order.in_force)
     }
 
-    /// Whether new work belongs elsewhere, and will not come back here.
+    /// Whether the upstream or the node is leaving, so that new requests must go to
+    /// other instances.
     pub fn leaving(&self) -> bool {
-        self.draining || self.departing || (self.served && !self.ready)
+        self.draining || self.departing || (self.was_ready && !self.ready)
     }
 
-    /// The slots that are told to others. An endpoint that speaks ill of the
-    /// upstream may lag, lie or be stuck, so it only makes the instance look
-    /// smaller than it is: with others there it gets less, and when all look
-    /// ill, none does.
-    pub fn shown(&self, limit: u32) -> u32 {
-        match self.well {
+    /// The slots that are advertised to other nodes. A health endpoint may report
+    /// wrong or outdated values, or hang, so a bad report only reduces them: the
+    /// instance gets less load than healthy ones, and the same share as before if all
+    /// instances look unhealthy.
+    pub fn advertised_slots(&self, limit: u32) -> u32 {
+        match self.healthy {
             true => limit,
             false => (limit / UNHEALTHY_DIVISOR).max(1),
         }
     }
 
-    /// An attempt was started.
-    pub fn started(&mut self, now: Time) {
+    /// Records the start of an attempt.
+    pub fn record_start(&mut self, now: Time) {
         self.last_start = now;
     }
 
-    /// An attempt was served whole.
-    pub fn took(&mut self, now: Time, route: &id::Route, took: Span) {
+    /// Records the service time of a completed attempt.
+    pub fn record_service_time(&mut self, now: Time, route: &id::Route, took: Span) {
         let ms = took.as_ms() as f64;
-        self.typical = blend(self.typical, ms);
-        let usual = self.routes.entry(route.clone()).or_default();
-        usual.ms = blend(usual.ms, ms);
-        usual.at = now;
+        self.mean_service_ms = ewma(self.mean_service_ms, ms);
+        let service = self.service_times.entry(route.clone()).or_default();
+        service.mean_ms = ewma(service.mean_ms, ms);
+        service.updated = now;
     }
 
-    /// The usual time of service of a route, zero while unknown.
+    /// The mean service time of a route, zero while unknown.
     ///
-    /// Guards against a judgement that outlives its cause: after a pause all
-    /// requests seem to take longer than any deadline, so none is admitted, and
-    /// nothing is served that could show otherwise. What was learnt counts only
-    /// while requests are still served; then some are let in and it is learnt
-    /// anew.
-    pub fn typical(&self, now: Time, route: &id::Route) -> Span {
-        let fresh = |usual: &&Usual| now.since(usual.at) <= SERVICE_TIMEOUT;
-        let usual = self.routes.get(route).filter(fresh);
-        Span::from_ms(usual.map_or(0, |usual| usual.ms as u64))
+    /// It expires when it is not updated. After a pause of the upstream the mean may
+    /// exceed every deadline; then no request would be admitted, and none would
+    /// complete and correct the mean. Once it has expired, requests are admitted
+    /// again and a new mean is measured.
+    pub fn service_time(&self, now: Time, route: &id::Route) -> Span {
+        let is_current = |service: &&ServiceTime| now.since(service.updated) <= SERVICE_TIMEOUT;
+        let service = self.service_times.get(route).filter(is_current);
+        Span::from_ms(service.map_or(0, |service| service.mean_ms as u64))
     }
 
-    /// The delay to aim at, with this time in ms between two starts. With few
-    /// slots and long service that alone is longer than the row's target.
-    pub fn target(&self, gap: f64) -> Span {
-        self.delay.max(Span::from_ms((gap * 2.0) as u64))
+    /// The target of the queue delay, for a given time between two starts. It is at
+    /// least two such intervals: with few slots and long service times a single one
+    /// may exceed the configured target.
+    pub fn target_delay(&self, interval_ms: f64) -> Span {
+        self.target_delay
+            .max(Span::from_ms((interval_ms * 2.0) as u64))
     }
 
-    /// How much longer than usual nothing was started.
-    pub fn still(&self, now: Time, gap: f64) -> Span {
-        let usual = Span::from_ms((gap * 2.0) as u64);
-        now.since(self.last_start) - usual
+    /// The time since the last start, beyond the two intervals that are normal.
+    pub fn stall(&self, now: Time, interval_ms: f64) -> Span {
+        let normal = Span::from_ms((interval_ms * 2.0) as u64);
+        now.since(self.last_start) - normal
     }
 
-    /// The usual time of service in ms, over all routes.
-    pub fn usual(&self) -> f64 {
-        self.typical
+    /// The mean service time in milliseconds over all routes.
+    pub fn mean_service_ms(&self) -> f64 {
+        self.mean_service_ms
     }
 
-    /// The usual time in ms between two starts with `limit` slots in use.
-    pub fn gap(&self, limit: u32) -> f64 {
-        self.typical / f64::from(limit.max(1))
+    /// The mean time in milliseconds between two starts with `limit` slots in use.
+    pub fn start_interval_ms(&self, limit: u32) -> f64 {
+        self.mean_service_ms / f64::from(limit.max(1))
     }
 }
 
-fn blend(mean: f64, sample: f64) -> f64 {
+fn ewma(mean: f64, sample: f64) -> f64 {
     match mean {
         0.0 => sample,
         _ => mean + (sample - mean) * SERVICE_EWMA_WEIGHT,
--- a/src/request/inbound/waiting.rs
+++ b/src/request/inbound/waiting.rs
@@ -1,4 +1,4 @@
-//! Attempts that have arrived and are not started.
+//! Attempts that have arrived and not been started.
 
 use rand::RngExt;
 
@@ -35,37 +35,37 @@
     record::Claim,
 };
 
-/// The share of its time that a call of a service may wait. Refusing it fails
-/// the whole request that made it, with all that was done for that.
+/// Share of its remaining time that a nested call may wait. Refusing it fails the
+/// whole request that made it, and wastes the work already done for that.
 const MAX_NESTED_WAIT_SHARE: f64 = 0.5;
-/// Lower bound in ms of the time between two starts.
-const MIN_GAP: f64 = 0.001;
-/// The longest wait, in targets of the queue's delay.
+/// Lower bound of the time between two starts.
+const MIN_INTERVAL_MS: f64 = 0.001;
+/// The longest wait, in multiples of the target queue delay.
 const MAX_WAIT_TARGETS: f64 = 10.0;
 
-/// One attempt before its start.
+/// One waiting attempt.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// Who sent it.
+    /// The node that sent it.
     pub peer: id::Instance,
     /// Its route.
     pub route: id::Route,
-    /// What came along.
+    /// The metadata that came with it.
     pub context: Context,
     /// The idempotency record that guards it.
     pub claim: Option<Claim>,
-    /// When it must have ended.
+    /// Its deadline.
     pub deadline: Time,
-    /// When its root arrived, as far as this node can tell.
+    /// When its root arrived, by the age in its context.
     pub root: Time,
-    /// When the rate token that pays for it ends, if it has not begun.
-    pub begin: Time,
-    /// When it has waited too long.
+    /// Latest time of its start: when the rate token that was taken for it expires.
+    pub start_before: Time,
+    /// When it is refused because it has waited too long.
     pub expires: Time,
 }
 
 impl Waiting {
-    /// An attempt that arrives now.
+    /// Creates an attempt that arrives now.
     pub fn new(
         now: Time,
         peer: id::Instance,
@@ -75,7 +75,7 @@
     ) -> Self {
         let deadline = now + context.left;
         let root = Time::from_ms(now.as_ms().saturating_sub(context.age.as_ms()));
-        let begin = match context.begin {
+        let start_before = match context.begin {
             Some(Begin::Clock(clock)) => Time::from_ms(clock),
             Some(Begin::Within(left)) => now + left,
             None => Time::NEVER,
@@ -87,15 +87,15 @@
             claim,
             deadline,
             root,
-            begin,
-            expires: deadline.min(begin),
+            start_before,
+            expires: deadline.min(start_before),
         }
     }
 }
 
 impl Proxy {
-    /// An attempt that was never seen before.
-    pub(super) fn arrived(
+    /// Admits and queues an attempt that has not been seen before, or refuses it.
+    pub(super) fn enqueue(
         &mut self,
         now: Time,
         request: id::Request,
@@ -104,30 +104,33 @@
         out: &mut Vec<Action>,
     ) {
         if world.policy.admission == Admission::Level {
-            // The pace does not count: other instances may take more.
-            let gap = self.site.gap(self.slots(now));
-            let mut patience = self.site.target(gap).scale(MAX_WAIT_TARGETS);
+            // The start limits are left out: other instances may accept more.
+            let interval_ms = self.upstream_state.start_interval_ms(self.slots(now));
+            let mut max_wait = self
+                .upstream_state
+                .target_delay(interval_ms)
+                .scale(MAX_WAIT_TARGETS);
             if waiting.context.depth > 0 && world.policy.attribution {
-                patience = patience.max(waiting.context.left.scale(MAX_NESTED_WAIT_SHARE));
+                max_wait = max_wait.max(waiting.context.left.scale(MAX_NESTED_WAIT_SHARE));
             }
-            waiting.expires = waiting.expires.min(now + patience);
+            waiting.expires = waiting.expires.min(now + max_wait);
         }
-        let item = item(request, &waiting, world);
+        let item = queue_item(request, &waiting, world);
         if let Err(code) = self.admit(now, &item, &waiting, world) {
             return self.refuse(now, request, waiting, code, world, out);
         }
-        let order = order(world.policy);
-        let room = self.site.queue as usize;
-        if world.policy.admission != Admission::Open && self.queue.len() >= room {
-            let Some(last) = self.queue.evict(&item, order) else {
+        let order = queue_order(world.policy);
+        let max_queue = self.upstream_state.max_queue as usize;
+        if world.policy.admission != Admission::Open && self.queue.len() >= max_queue {
+            let Some(evicted) = self.queue.evict(&item, order) else {
                 return self.refuse(now, request, waiting, Code::QueueFull, world, out);
             };
-            if let Some(last) = self
+            if let Some(evicted) = self
                 .waiting
-                .remove(&last.request)
-                .map(|w| (last.request, w))
+                .remove(&evicted.request)
+                .map(|w| (evicted.request, w))
             {
-                self.refuse(now, last.0, last.1, Code::QueueFull, world, out);
+                self.refuse(now, evicted.0, evicted.1, Code::QueueFull, world, out);
             }
         }
         self.queue.push(item, order);
@@ -141,16 +144,16 @@
         waiting: &Waiting,
         world: &mut World<'_>,
     ) -> Result<(), Code> {
-        if self.site.leaving() {
+        if self.upstream_state.leaving() {
             return Err(Code::Leaving);
         }
-        if self.site.is_evacuated() {
+        if self.upstream_state.is_evacuated() {
             return Err(Code::Evacuated);
         }
-        if !self.site.ready {
+        if !self.upstream_state.ready {
             return Err(Code::UpstreamAbsent);
         }
-        self.fit(now, waiting, world)?;
+        self.check_startable(now, waiting, world)?;
         if world.policy.admission != Admission::Level {
             return Ok(());
         }
@@ -165,56 +168,64 @@
         }
         self.controller
             .record_admitted(context.importance, team, item.weight);
-        let ahead = self.queue.ahead(item, order(world.policy));
-        if let Some(code) = self.pace.refusal(now, ahead, now.until(waiting.expires)) {
+        let ahead = self.queue.ahead(item, queue_order(world.policy));
+        if let Some(code) = self
+            .start_limits
+            .refusal(now, ahead, now.until(waiting.expires))
+        {
             return Err(code);
         }
         let wait = self.wait(now, ahead);
-        let work = self.site.typical(now, &waiting.route);
-        if world.policy.deadline && now + wait + work > waiting.deadline {
+        let service = self.upstream_state.service_time(now, &waiting.route);
+        if world.policy.deadline && now + wait + service > waiting.deadline {
             return Err(Code::DeadlineUnfit);
         }
         Ok(())
     }
 
-    /// Whether it may still be started now.
-    pub(super) fn fit(&self, now: Time, waiting: &Waiting, world: &World<'_>) -> Result<(), Code> {
+    /// Checks that an attempt may still be started now.
+    pub(super) fn check_startable(
+        &self,
+        now: Time,
+        waiting: &Waiting,
+        world: &World<'_>,
+    ) -> Result<(), Code> {
         let context = &waiting.context;
-        // A version older than the ingress's may not know the key yet.
-        let newer = world.snapshot.version >= context.version;
+        // A configuration older than that of the ingress may not contain the key yet.
+        let is_current = world.snapshot.version >= context.version;
         if let Some(key) = &context.key
-            && newer
+            && is_current
             && !world.snapshot.teams.holds(key, &context.team)
         {
             return Err(Code::KeyWithdrawn);
         }
-        let unfit = world.policy.deadline && now >= waiting.deadline;
-        if unfit {
+        let is_late = world.policy.deadline && now >= waiting.deadline;
+        if is_late {
             return Err(Code::DeadlineUnfit);
         }
-        // A root that began after its token had ended could fall into a window
-        // together with the token granted in its place.
-        if now >= waiting.begin {
+        // A root that started after its token had expired could fall into the same
+        // rate window as the token that was granted in its place.
+        if now >= waiting.start_before {
             return Err(Code::QueueTimeout);
         }
         Ok(())
     }
 
-    /// The next to be started.
+    /// Takes the next attempt to start from the queue.
     pub(super) fn next(&mut self, policy: Policy) -> Option<(id::Request, Waiting)> {
         let overloaded = self.controller.overloaded();
-        let item = self.queue.pop(order(policy), overloaded)?;
+        let item = self.queue.pop(queue_order(policy), overloaded)?;
         let waiting = self.waiting.remove(&item.request)?;
         Some((item.request, waiting))
     }
 
-    /// Takes a waiting attempt out.
-    pub(super) fn unqueue(&mut self, request: id::Request) -> Option<Waiting> {
+    /// Removes a waiting attempt.
+    pub(super) fn remove_waiting(&mut self, request: id::Request) -> Option<Waiting> {
         self.queue.remove(request);
         self.waiting.remove(&request)
     }
 
-    /// Tells that an attempt was not run, and makes that true for ever.
+    /// Refuses an attempt as not run, and records that it must never be started.
     pub(super) fn refuse(
         &mut self,
         now: Time,
@@ -225,16 +236,16 @@
         out: &mut Vec<Action>,
     ) {
         let left = now.until(waiting.deadline);
-        self.memory.revoke(now, &waiting.peer, request, left);
+        self.history.revoke(now, &waiting.peer, request, left);
         world.counts.add(Counter::Turned(code));
         let team = &waiting.context.team;
-        let mut report = self.state(now);
+        let mut report = self.base_report(now);
         report.level = self.level(now, &waiting.route, team, world.levels, world.policy);
         out.push(Action::Refuse(waiting.peer, request, code, report));
     }
 
-    /// Refuses everything that waits.
-    pub(super) fn flush(
+    /// Refuses all waiting attempts.
+    pub(super) fn refuse_waiting(
         &mut self,
         now: Time,
         code: Code,
@@ -243,20 +254,25 @@
     ) {
         let all: Vec<_> = self.queue.iter().collect();
         for request in all {
-            if let Some(waiting) = self.unqueue(request) {
+            if let Some(waiting) = self.remove_waiting(request) {
                 self.refuse(now, request, waiting, code, world, out);
             }
         }
     }
 
-    /// Refuses what has waited too long.
-    pub(super) fn expire(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
-        let late = |(request, waiting): (&id::Request, &Waiting)| {
+    /// Refuses attempts that have waited too long.
+    pub(super) fn expire_waiting(
+        &mut self,
+        now: Time,
+        world: &mut World<'_>,
+        out: &mut Vec<Action>,
+    ) {
+        let expired = |(request, waiting): (&id::Request, &Waiting)| {
             (waiting.expires <= now).then_some(*request)
         };
-        let late: Vec<_> = self.waiting.iter().filter_map(late).collect();
-        for request in late {
-            if let Some(waiting) = self.unqueue(request) {
+        let expired: Vec<_> = self.waiting.iter().filter_map(expired).collect();
+        for request in expired {
+            if let Some(waiting) = self.remove_waiting(request) {
                 let code = match waiting.deadline <= now {
                     true => Code::DeadlineUnfit,
                     false => Code::QueueTimeout,
@@ -266,57 +282,60 @@
         }
     }
 
-    /// Moves the level by the queue's delay.
-    pub(super) fn control(&mut self, now: Time, world: &World<'_>) {
+    /// Updates the level from the queue delay.
+    pub(super) fn update_level(&mut self, now: Time, world: &World<'_>) {
         if world.policy.admission != Admission::Level {
             return;
         }
         let queue_delay = match self.queue.is_empty() {
             true => Span::ZERO,
-            false => self.delay(now),
+            false => self.queue_delay(now),
         };
         let measurement = Measurement {
             queue_delay,
-            utilization: self.used(now),
-            service_rate: 1000.0 / self.gap(now).max(MIN_GAP),
+            utilization: self.utilization(now),
+            service_rate: 1000.0 / self.start_interval_ms(now).max(MIN_INTERVAL_MS),
         };
-        self.controller.tick(now, measurement, self.target(now));
+        self.controller
+            .tick(now, measurement, self.target_delay(now));
     }
 
-    fn target(&self, now: Time) -> Span {
-        self.site.target(self.gap(now))
+    fn target_delay(&self, now: Time) -> Span {
+        self.upstream_state
+            .target_delay(self.start_interval_ms(now))
     }
 
-    /// The time in ms between two starts, by slots or by the pace of the upstream.
-    fn gap(&self, now: Time) -> f64 {
-        let slots = self.site.gap(self.slots(now));
-        slots.max(self.pace.gap())
+    /// The time in milliseconds between two starts, by the slots and the start limits.
+    fn start_interval_ms(&self, now: Time) -> f64 {
+        let slots = self.upstream_state.start_interval_ms(self.slots(now));
+        slots.max(self.start_limits.interval_ms())
     }
 
-    /// How long a request waits that this many are ahead of.
+    /// The expected wait of a request with this many others ahead of it.
     fn wait(&self, now: Time, ahead: usize) -> Span {
-        let slots = ahead as f64 * self.site.gap(self.slots(now));
-        Span::from_ms(slots as u64).max(self.pace.wait(now, ahead))
+        let slots = ahead as f64 * self.upstream_state.start_interval_ms(self.slots(now));
+        Span::from_ms(slots as u64).max(self.start_limits.wait(now, ahead))
     }
 
-    /// The share of what the upstream can take that is in use.
-    fn used(&self, now: Time) -> f64 {
+    /// The share of the slots in use; 1 while the start limits allow no start.
+    fn utilization(&self, now: Time) -> f64 {
         let slots = self.running.len() as f64 / f64::from(self.slots(now));
-        match self.pace.allows(now) {
+        match self.start_limits.allows(now) {
             true => slots,
             false => 1.0,
         }
     }
 
-    /// How long a request that came last would wait; at least the time since
-    /// anything was started, in case the upstream stands still.
-    fn delay(&self, now: Time) -> Span {
-        let little = self.wait(now, self.queue.len());
-        little.max(self.site.still(now, self.gap(now)))
+    /// How long a request at the end of the queue would wait. It is at least the time
+    /// since the last start, beyond the normal interval, in case the upstream has
+    /// stalled.
+    fn queue_delay(&self, now: Time) -> Span {
+        let wait = self.wait(now, self.queue.len());
+        wait.max(self.upstream_state.stall(now, self.start_interval_ms(now)))
     }
 }
 
-fn item(request: id::Request, waiting: &Waiting, world: &World<'_>) -> Item {
+fn queue_item(request: id::Request, waiting: &Waiting, world: &World<'_>) -> Item {
     let context = &waiting.context;
     let team = world.snapshot.teams.team(&context.team);
     let by_rank = world.policy.attribution && context.depth > 0;
@@ -334,7 +353,7 @@
     }
 }
 
-fn order(policy: Policy) -> Order {
+fn queue_order(policy: Policy) -> Order {
     let level = policy.admission == Admission::Level;
     Order {
         by_importance: level && policy.choice == Choice::Root,
--- a/src/request/warmup.rs
+++ b/src/request/warmup.rs
@@ -76,7 +76,7 @@
 pub enum Doubt {
     /// It has just become ready and has not reported yet.
     Unreported,
-    /// It refused a connection.
+    /// No connection to it could be opened.
     Refused,
     /// This node was suspended.
     Suspended,
