--- a/src/request/limit.rs
+++ b/src/request/limit.rs
@@ -1,12 +1,13 @@
-//! How many requests an upstream runs well at a time.
+//! Concurrency limit of an upstream.
 //!
-//! With slots in the pool's row the limit is their number; only an upstream
-//! that refuses connections pushes it below. Without, the limit is learnt: it
-//! grows while all of it is used and the time of service stays near the best
-//! seen. When requests get slower, it is lowered once to see why. If as many are
-//! served as before, they had only waited for each other inside, and it stays
-//! lower. If fewer are, the service is slow for reasons of its own, a lower limit
-//! would only make it slower, and it returns to what it was. Nothing freezes it.
+//! When the pool configures slots, the limit is their number, and only refused
+//! connections reduce it. Otherwise the limit is learnt. It grows while all of it is
+//! used and the mean service time stays near the best one seen. When requests become
+//! slower, a trial with a lower limit finds the cause. If the throughput stays the
+//! same, requests had only queued inside the upstream, and the limit stays lower. If
+//! the throughput falls, the upstream is slow for another reason; a lower limit would
+//! only reduce it further, so the limit is restored. The limit is adjusted all the
+//! time and never frozen.
 
 pub mod knee;
 
@@ -15,42 +16,48 @@
     Time, //
 };
 
+/// Minimum length of a measurement window.
 const MIN_WINDOW: Span = Span::from_ms(100);
 const INITIAL_LIMIT: f64 = 16.0;
 const MIN_LIMIT: f64 = 2.0;
 const MAX_LIMIT: f64 = 4096.0;
-/// How much the limit grows in a window.
-const GROWTH: f64 = 1.2;
-/// Slower than the best by more than this may be crowded.
+/// Factor by which the limit grows in one window.
+const GROWTH_FACTOR: f64 = 1.2;
+/// Factor on the best mean service time above which a trial starts.
 const MAX_SLOWDOWN: f64 = 1.5;
-/// The share of the limit with which that is tried.
-const TRIAL_SHARE: f64 = 0.6;
-/// The share of the rate before that a trial must keep.
-const MIN_KEPT_RATE: f64 = 0.8;
+/// Factor on the limit during a trial.
+const TRIAL_FACTOR: f64 = 0.6;
+/// Share of the previous throughput that a trial must reach for the lower limit to
+/// stay.
+const MIN_THROUGHPUT_SHARE: f64 = 0.8;
 
-/// The limit of one upstream.
+/// The concurrency limit of one upstream.
 #[derive(Clone, Debug)]
 pub struct Concurrency {
     configured: Option<u32>,
     learnt: f64,
     trial: Option<Trial>,
     window: Window,
-    best: f64,
-    warm: Option<(Time, Span)>,
+    /// The lowest mean service time seen, in milliseconds.
+    best_ms: f64,
+    /// Start and length of the ramp of a new upstream.
+    ramp: Option<(Time, Span)>,
 }
 
-/// What it was before a trial of a lower limit.
+/// A trial of a lower limit.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    limit: f64,
-    rate: f64,
-    /// Requests begun under the higher limit still run.
+    /// The limit before the trial.
+    previous_limit: f64,
+    /// The throughput before the trial, in requests per second.
+    throughput: f64,
+    /// Whether requests that started under the previous limit still run.
     mixed: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
-    begun: Time,
+    started: Time,
     ends: Time,
     served: u32,
     total_ms: f64,
@@ -65,14 +72,14 @@
             learnt: INITIAL_LIMIT,
             trial: None,
             window: Window::default(),
-            best: f64::INFINITY,
-            warm: None,
+            best_ms: f64::INFINITY,
+            ramp: None,
         }
     }
 }
 
 impl Concurrency {
-    /// Takes the pool's row into account.
+    /// Sets the slots that the pool configures, if any.
     pub fn configure(&mut self, slots: Option<u32>) {
         if self.configured == slots {
             return;
@@ -83,47 +90,47 @@
         }
     }
 
-    /// An upstream has just come up: its share grows over `ramp`.
+    /// Starts a ramp: the limit of a new upstream grows to its full value over `ramp`.
     pub fn start_ramp(&mut self, now: Time, ramp: Span) {
-        self.warm = Some((now, ramp));
+        self.ramp = Some((now, ramp));
     }
 
-    /// Requests that may run at a time now.
+    /// The number of requests that may run concurrently now.
     pub fn current(&self, now: Time) -> u32 {
-        let most = self.configured.map_or(MAX_LIMIT, f64::from);
-        let ramp = self.warm.map_or(1.0, |(since, ramp)| {
+        let max = self.configured.map_or(MAX_LIMIT, f64::from);
+        let factor = self.ramp.map_or(1.0, |(since, ramp)| {
             let share = now.since(since).as_ms() as f64 / ramp.as_ms().max(1) as f64;
             share.clamp(0.1, 1.0)
         });
-        (self.learnt.min(most) * ramp).max(1.0) as u32
+        (self.learnt.min(max) * factor).max(1.0) as u32
     }
 
-    /// An attempt was served whole, with this many in flight beside it.
+    /// Records a completed attempt, and how many were in flight including it.
     pub fn record_served(&mut self, took: Span, in_flight: u32) {
         self.window.served += 1;
         self.window.total_ms += took.as_ms().max(1) as f64;
         self.window.peak = self.window.peak.max(in_flight);
     }
 
-    /// The upstream accepted no connection.
+    /// Records that no connection to the upstream could be opened.
     pub fn record_refused(&mut self) {
         self.window.refused = true;
     }
 
-    /// Judges a window that has passed.
+    /// Adjusts the limit once a measurement window has passed.
     pub fn tick(&mut self, now: Time) {
         if now < self.window.ends {
             return;
         }
         let window = std::mem::take(&mut self.window);
         let mean = window.total_ms / f64::from(window.served.max(1));
-        self.window.begun = now;
+        self.window.started = now;
         self.window.ends = now + MIN_WINDOW.max(Span::from_ms((mean * 1.5) as u64));
         if window.refused {
             self.learnt = (self.learnt * 0.7).max(MIN_LIMIT);
             return;
         }
-        let grown = (self.learnt * GROWTH + 1.0).min(MAX_LIMIT);
+        let grown = (self.learnt * GROWTH_FACTOR + 1.0).min(MAX_LIMIT);
         match self.configured {
             Some(slots) => self.learnt = grown.min(f64::from(slots.max(1))),
             None if window.served > 0 => self.learn(now, window, grown),
@@ -131,32 +138,34 @@
         }
     }
 
+    /// Adjusts a learnt limit by the window that has passed.
     fn learn(&mut self, now: Time, window: Window, grown: f64) {
         let mean = window.total_ms / f64::from(window.served);
-        let rate = f64::from(window.served) / now.since(window.begun).as_secs_f64().max(0.001);
+        let throughput =
+            f64::from(window.served) / now.since(window.started).as_secs_f64().max(0.001);
         let used = f64::from(window.peak) >= self.learnt * 0.8;
         match self.trial.take() {
             Some(trial) if trial.mixed => {
                 let mixed = f64::from(window.peak) > self.learnt + 1.0;
                 self.trial = Some(Trial { mixed, ..trial });
             }
-            // Too little came to tell.
-            Some(trial) if !used => self.learnt = trial.limit,
-            Some(trial) if rate < trial.rate * MIN_KEPT_RATE => {
-                self.learnt = trial.limit;
-                self.best = mean;
+            // There were too few requests to reach a result.
+            Some(trial) if !used => self.learnt = trial.previous_limit,
+            Some(trial) if throughput < trial.throughput * MIN_THROUGHPUT_SHARE => {
+                self.learnt = trial.previous_limit;
+                self.best_ms = mean;
             }
-            Some(_) => self.best = self.best.min(mean),
-            None if used && mean > self.best * MAX_SLOWDOWN => {
+            Some(_) => self.best_ms = self.best_ms.min(mean),
+            None if used && mean > self.best_ms * MAX_SLOWDOWN => {
                 self.trial = Some(Trial {
-                    limit: self.learnt,
-                    rate,
+                    previous_limit: self.learnt,
+                    throughput,
                     mixed: true,
                 });
-                self.learnt = (self.learnt * TRIAL_SHARE).max(MIN_LIMIT);
+                self.learnt = (self.learnt * TRIAL_FACTOR).max(MIN_LIMIT);
             }
             None => {
-                self.best = self.best.min(mean);
+                self.best_ms = self.best_ms.min(mean);
                 if used {
                     self.learnt = grown;
                 }
--- a/src/request/limit/knee.rs
+++ b/src/request/limit/knee.rs
@@ -1,14 +1,15 @@
-//! Finds whether an upstream does more with some of its slots left free.
+//! Finds whether an upstream serves more when some of its slots stay free.
 //!
-//! Some upstreams get slower when nearly all of their slots are in use, so that
-//! with the last few filled they serve less than without them. The load it
-//! answers is a lasting overload, where every slot that ends is filled again.
+//! Some upstreams become slower when almost all of their slots are in use, so that
+//! they serve less with the last few slots filled than without. This matters under
+//! sustained overload, when every slot that becomes free is filled again at once.
 //!
-//! A [`Search`] runs such an upstream by turns with all slots and with a
-//! [`margin`] free, and compares how long requests of the same route take. Turns
-//! are short, so that whatever else changes the time of service changes it in
-//! both. What serves more is kept, and tried again now and then. Only requests
-//! that took the last slot count, so an upstream with room to spare is left alone.
+//! A [`Search`] alternates between phases with all slots in use and phases with a
+//! [`margin`] of free slots, and compares the service times of the same routes. The
+//! phases are short, so that other changes of the service time affect both kinds
+//! alike. The setting that serves more is kept, and tested again at intervals. Only
+//! requests that took the last slot count, so an upstream that is not fully used is
+//! left alone.
 
 use std::collections::BTreeMap;
 
@@ -20,25 +21,25 @@
     id::Route,
 };
 
-/// The share of slots that may be left free, rounded up.
+/// Share of the slots in the margin, rounded up.
 const MARGIN_SHARE: f64 = 0.06;
-/// Upstreams with fewer slots always use all of them.
+/// Upstreams with fewer slots have no margin.
 const MIN_SLOTS: u32 = 6;
-/// Length of one turn, at least, and in usual times of service.
-const MIN_TURN: Span = Span::from_ms(300);
-const TURN_SERVICES: f64 = 4.0;
-/// Turns of each kind that a trial takes, at least.
-const MIN_TURNS: u32 = 2;
-/// Requests of each kind that a trial needs.
+/// Length of one phase: a minimum, and a multiple of the mean service time.
+const MIN_PHASE: Span = Span::from_ms(300);
+const PHASE_SERVICE_TIMES: f64 = 4.0;
+/// Minimum number of phases of each kind in a trial.
+const MIN_PHASES: u32 = 2;
+/// Minimum number of samples of each kind in a trial.
 const MIN_SAMPLES: u32 = 100;
-/// A trial that lasts longer finds nothing.
+/// A trial that lasts longer ends without a result.
 const MAX_TRIAL: Span = Span::from_secs(20);
 /// Time between two trials.
 const TRIAL_INTERVAL: Span = Span::from_secs(10);
-/// How much more must be served to change the way.
+/// Relative gain of throughput that is needed to change the setting.
 const MIN_GAIN: f64 = 0.02;
 
-/// How many slots are left free when a margin is.
+/// The number of slots in the margin.
 pub fn margin(slots: u32) -> u32 {
     match slots < MIN_SLOTS {
         true => 0,
@@ -46,11 +47,11 @@
     }
 }
 
-/// The turn in which a request took the last slot.
+/// The phase in which a request took the last slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Phase(u64);
 
-/// Times of service of one route.
+/// Service times of one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     count: u32,
@@ -63,37 +64,37 @@
     }
 }
 
-/// What was measured with all slots, and with a margin.
+/// Service times of one route with all slots in use, and with the margin free.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
     full: Sample,
-    spared: Sample,
+    with_margin: Sample,
 }
 
 #[derive(Clone, Debug)]
 struct Trial {
-    begun: Time,
-    /// When the present turn ends.
-    until: Time,
-    turns: u32,
+    started: Time,
+    /// When the current phase ends.
+    phase_ends: Time,
+    phases: u32,
     routes: BTreeMap<Route, Pair>,
 }
 
-/// The search beside one upstream.
+/// The search for one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Search {
     slots: u32,
-    /// Whether a margin is left free between trials.
-    spares: bool,
-    /// Whether one is left free in this turn.
-    spares_now: bool,
-    turn: u64,
+    /// Whether the margin stays free between trials.
+    use_margin: bool,
+    /// Whether the margin stays free in the current phase.
+    use_margin_now: bool,
+    phase: u64,
     trial: Option<Trial>,
     next: Time,
 }
 
 impl Search {
-    /// Begins anew for an upstream with other slots.
+    /// Sets the slots, and restarts the search when they have changed.
     pub fn configure(&mut self, slots: u32) {
         if self.slots != slots {
             *self = Self {
@@ -103,89 +104,91 @@
         }
     }
 
-    /// Requests that may run at a time now.
+    /// The number of requests that may run concurrently now.
     pub fn limit(&self) -> u32 {
-        match self.spares_now {
+        match self.use_margin_now {
             true => self.slots - margin(self.slots),
             false => self.slots,
         }
     }
 
-    /// A request begins, the last of this many that run now.
+    /// Returns the current phase when a request that starts now, as the last of
+    /// `running`, takes the last slot during a trial.
     pub fn start_phase(&self, running: u32) -> Option<Phase> {
-        let counts = self.trial.is_some() && running == self.limit();
-        counts.then_some(Phase(self.turn))
+        let is_sample = self.trial.is_some() && running == self.limit();
+        is_sample.then_some(Phase(self.phase))
     }
 
-    /// A request that took the last slot in a turn was served whole.
-    pub fn record_served(&mut self, turn: Phase, route: &Route, took: Span) {
-        // One that runs into the next turn tells of both.
-        let Some(trial) = self.trial.as_mut().filter(|_| turn.0 == self.turn) else {
+    /// Records the service time of a request that took the last slot in a phase.
+    pub fn record_served(&mut self, phase: Phase, route: &Route, took: Span) {
+        // A request that ran into the next phase is affected by both.
+        let Some(trial) = self.trial.as_mut().filter(|_| phase.0 == self.phase) else {
             return;
         };
         let pair = trial.routes.entry(route.clone()).or_default();
-        let sample = match self.spares_now {
-            true => &mut pair.spared,
+        let sample = match self.use_margin_now {
+            true => &mut pair.with_margin,
             false => &mut pair.full,
         };
         sample.count += 1;
         sample.total_ms += took.as_ms().max(1) as f64;
     }
 
-    /// Begins, turns or ends a trial; `is_full` tells that requests wait for a
-    /// slot, `usual_ms` how long one is in use.
-    pub fn tick(&mut self, now: Time, is_full: bool, usual_ms: f64) {
-        let length = MIN_TURN.max(Span::from_ms((usual_ms * TURN_SERVICES) as u64));
+    /// Starts a trial, switches its phase or ends it. `is_full` tells whether requests
+    /// wait for a slot, `service_ms` is the mean service time.
+    pub fn tick(&mut self, now: Time, is_full: bool, service_ms: f64) {
+        let length = MIN_PHASE.max(Span::from_ms((service_ms * PHASE_SERVICE_TIMES) as u64));
         let Some(trial) = &mut self.trial else {
             if is_full && now >= self.next && margin(self.slots) > 0 {
                 self.trial = Some(Trial {
-                    begun: now,
-                    until: now + length,
-                    turns: 1,
+                    started: now,
+                    phase_ends: now + length,
+                    phases: 1,
                     routes: BTreeMap::new(),
                 });
-                self.turn += 1;
+                self.phase += 1;
             }
             return;
         };
-        if now < trial.until {
+        if now < trial.phase_ends {
             return;
         }
-        let verdict = trial.verdict(self.slots);
-        if verdict.is_some() || now.since(trial.begun) > MAX_TRIAL {
-            self.spares = verdict.map_or(self.spares, |gain| match self.spares {
+        let gain = trial.gain(self.slots);
+        if gain.is_some() || now.since(trial.started) > MAX_TRIAL {
+            self.use_margin = gain.map_or(self.use_margin, |gain| match self.use_margin {
                 true => gain > -MIN_GAIN,
                 false => gain > MIN_GAIN,
             });
-            self.spares_now = self.spares;
+            self.use_margin_now = self.use_margin;
             self.trial = None;
             self.next = now + TRIAL_INTERVAL;
             return;
         }
-        trial.until = now + length;
-        trial.turns += 1;
-        self.turn += 1;
-        self.spares_now = !self.spares_now;
+        trial.phase_ends = now + length;
+        trial.phases += 1;
+        self.phase += 1;
+        self.use_margin_now = !self.use_margin_now;
     }
 }
 
 impl Trial {
-    /// How much more is served with a margin, once enough was measured.
-    fn verdict(&self, slots: u32) -> Option<f64> {
+    /// The relative gain of throughput with the margin, or none while there are too few
+    /// samples.
+    fn gain(&self, slots: u32) -> Option<f64> {
         let pairs = || self.routes.values();
         let full: u32 = pairs().map(|pair| pair.full.count).sum();
-        let spared: u32 = pairs().map(|pair| pair.spared.count).sum();
-        if self.turns < MIN_TURNS * 2 || full.min(spared) < MIN_SAMPLES {
+        let with_margin: u32 = pairs().map(|pair| pair.with_margin.count).sum();
+        if self.phases < MIN_PHASES * 2 || full.min(with_margin) < MIN_SAMPLES {
             return None;
         }
-        let weight = |pair: &Pair| f64::from(pair.full.count.min(pair.spared.count));
-        let slower = |pair: &Pair| pair.full.mean() / pair.spared.mean().max(f64::EPSILON);
-        let both = pairs().filter(|pair| weight(pair) > 0.0);
-        let (sum, weights) = both.fold((0.0, 0.0), |(sum, weights), pair| {
-            (sum + slower(pair) * weight(pair), weights + weight(pair))
+        let weight = |pair: &Pair| f64::from(pair.full.count.min(pair.with_margin.count));
+        let speedup = |pair: &Pair| pair.full.mean() / pair.with_margin.mean().max(f64::EPSILON);
+        let compared = pairs().filter(|pair| weight(pair) > 0.0);
+        let (sum, weights) = compared.fold((0.0, 0.0), |(sum, weights), pair| {
+            (sum + speedup(pair) * weight(pair), weights + weight(pair))
         });
-        let slower = sum / f64::max(weights, 1.0);
-        let fewer = f64::from(slots - margin(slots)) / f64::from(slots);
-        Some(slower * fewer - 1.0)
+        let speedup = sum / f64::max(weights, 1.0);
+        let slot_share = f64::from(slots - margin(slots)) / f64::from(slots);
+        Some(speedup * slot_share - 1.0)
     }
 }
--- a/src/request/pending.rs
+++ b/src/request/pending.rs
@@ -1,4 +1,4 @@
-//! A call until its caller has its answer, as the listeners hold it.
+//! State that the listeners keep for a call until its caller has the answer.
 
 use std::rc::Rc;
 
@@ -26,40 +26,41 @@
     metric::Counter, //
 };
 
-/// What a caller's handler waits for.
+/// The result that a caller's handler waits for.
 pub(crate) enum Reply {
     /// The upstream's answer.
     Answer(Head, Rc<Inlet>),
-    /// No answer, for this reason, and when to come back.
+    /// A refusal with its reason, and after how long the caller may retry.
     Refuse(Code, Option<Span>),
 }
 
-/// Where the body of a call comes from.
+/// The source of a call's request body.
 pub(crate) enum Source {
-    /// It is here, and can be sent more than once.
+    /// The body is buffered, and can be sent more than once.
     Buffered(Bytes),
-    /// It comes in as it is sent, once.
+    /// The body is streamed while it is received, and can be sent only once.
     Stream {
-        /// What was read already.
+        /// The part that was already read.
         prefix: Bytes,
         /// The rest, until it is taken.
         rest: Option<Payload>,
-        /// The most that may come.
+        /// Maximum length of the body.
         limit: u64,
     },
 }
 
-/// A call until its handler is done with it.
+/// A call whose handler has not finished yet.
 pub(crate) struct Pending {
     pub(crate) reply: Option<oneshot::Sender<Reply>>,
+    /// The attempt whose answer was passed to the handler.
     pub(crate) delivered: Option<id::Request>,
     pub(crate) head: Head,
     pub(crate) source: Source,
-    /// What its lines in the log call it; none before it has an id.
+    /// The name of the call in log lines; none before it has an id.
     pub(crate) name: Option<Name>,
-    /// When its head had been read.
+    /// When its headers had been read.
     pub(crate) begun: Time,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(crate) attempts: u8,
 }
 
@@ -83,20 +84,20 @@
         }
     }
 
-    /// The path that it was sent to. What follows it may be private.
+    /// The path of the request target without its query, which may be private.
     pub(crate) fn path(&self) -> &str {
         self.head.target.split('?').next().unwrap_or_default()
     }
 }
 
-/// Holds a call for as long as its caller is there.
+/// Ends a call when it is dropped, with the handler of its caller.
 pub(crate) struct Guard {
     pub(crate) carrier: Rc<Carrier>,
     pub(crate) call: id::Call,
 }
 
 impl Guard {
-    /// The answer did not become whole.
+    /// Counts an answer that was cut off.
     pub(crate) fn count_cut_answer(&self) {
         self.carrier.count(Counter::AnswerCut);
     }
