--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -348,7 +348,7 @@
     /// Takes a health probe out of what the upstream may get. Returns whether it
     /// may be sent now.
     pub fn try_admit_probe(&mut self, now: Time) -> bool {
-        let is_allowed = self.proxy.probe(now);
+        let is_allowed = self.proxy.start_probe(now);
         if is_allowed {
             self.counts.add(Counter::Started(Kind::Probe));
         }
@@ -502,7 +502,7 @@
         let origin = match call.origin {
             Origin::Caller(key) => ingress::Origin::Caller { key },
             Origin::Service(token) => ingress::Origin::Service {
-                parent: token.and_then(|token| self.proxy.parent(now, token)),
+                parent: token.and_then(|token| self.proxy.nested_context(now, token)),
             },
         };
         let arrival = ingress::Arrival {
@@ -674,7 +674,7 @@
                 self.record_refused(now, *request, *code, out);
             }
             match action {
-                inbound::Action::Orphan(orphaned) => {
+                inbound::Action::EndNestedCalls(orphaned) => {
                     self.ingress(now, ingress::Event::Orphan(orphaned), out);
                 }
                 action => out.extend(carried(action)),
@@ -757,6 +757,6 @@
         inbound::Action::Departing { by_hint } => {
             Action::Log(LogEvent::UpstreamLeaving { by_hint })
         }
-        inbound::Action::Orphan(_) => return None,
+        inbound::Action::EndNestedCalls(_) => return None,
     })
 }
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -20,7 +20,7 @@
 
 use rand_chacha::ChaCha8Rng;
 
-pub use self::caller::Made;
+pub use self::caller::OutgoingCall;
 use self::{
     caller::Makers,
     memory::{
@@ -55,7 +55,7 @@
     frame::Fate,
     id,
     limit::{
-        Limit,
+        Concurrency,
         knee, //
     },
     metric::{
@@ -67,8 +67,8 @@
     record::Claim,
     warmup::{
         self,
+        ColdLimiter,
         Doubt,
-        Meter,
         Status, //
     },
 };
@@ -182,7 +182,7 @@
     /// Answer a revocation.
     Fate(id::Instance, id::Request, Fate),
     /// The attempt is over for its callers: end the nested calls it made.
-    Orphan(id::Request),
+    EndNestedCalls(id::Request),
     /// The upstream is believed to be cold or warm from now on.
     Warmup(Status),
     /// The upstream tells another limit than before.
@@ -222,9 +222,9 @@
     purses: Allowances,
     waiting: BTreeMap<id::Request, Waiting>,
     queue: Queue,
-    limit: Limit,
+    limit: Concurrency,
     knee: knee::Search,
-    bound: warmup::Bound,
+    bound: warmup::Tolerance,
     pace: Pace,
     /// The life of the upstream, zero while it is not told apart, and since when.
     upstream: (id::Upstream, Time),
@@ -252,9 +252,9 @@
             purses: Allowances::new(),
             waiting: BTreeMap::new(),
             queue: Queue::default(),
-            limit: Limit::default(),
+            limit: Concurrency::default(),
             knee: knee::Search::default(),
-            bound: warmup::Bound::default(),
+            bound: warmup::Tolerance::default(),
             pace: Pace::default(),
             upstream: (id::Upstream::default(), Time::ZERO),
             seen: Time::ZERO,
@@ -267,7 +267,7 @@
     }
 
     /// Bounds the requests at a cold upstream, over its rate.
-    pub fn bound_cold(&mut self, bound: warmup::Bound) {
+    pub fn set_cold_tolerance(&mut self, bound: warmup::Tolerance) {
         self.bound = bound;
         self.site.forget_row();
     }
@@ -323,7 +323,7 @@
     }
 
     /// The purses that nested calls borrow from.
-    pub fn purses(&mut self) -> &mut Allowances {
+    pub fn allowances(&mut self) -> &mut Allowances {
         &mut self.purses
     }
 
@@ -360,23 +360,23 @@
 
     /// The context of the running attempt that holds this token, with the time
     /// it has left. None once nobody waits for the attempt.
-    pub fn parent(&self, now: Time, token: id::Token) -> Option<Context> {
+    pub fn nested_context(&self, now: Time, token: id::Token) -> Option<Context> {
         let request = self.tokens.get(&token)?;
         let running = self.running.get(request)?;
         Some(running.nested(now, *request))
     }
 
     /// Remembers that the running attempt calls this route.
-    pub fn calls(&mut self, parent: id::Request, route: &id::Route) {
+    pub fn record_call(&mut self, parent: id::Request, route: &id::Route) {
         if let Some(running) = self.running.get_mut(&parent) {
-            running.calls(route);
+            running.record_call(route);
         }
     }
 
     /// Remembers that a call of the service failed. The attempt that made it
     /// will most likely fail for that, and trying it again would repeat all its
     /// other calls.
-    pub fn call_failed(&mut self, now: Time) {
+    pub fn record_call_failure(&mut self, now: Time) {
         self.failed = Some(now);
     }
 
@@ -473,10 +473,10 @@
 
     /// The upstream may be cold.
     fn doubt(&mut self, now: Time, doubt: Doubt, out: &mut Vec<Action>) {
-        self.believe(out, |meter| meter.doubt(now, doubt));
+        self.believe(out, |meter| meter.suspect_cold(now, doubt));
     }
 
-    fn believe(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut Meter)) {
+    fn believe(&mut self, out: &mut Vec<Action>, change: impl FnOnce(&mut ColdLimiter)) {
         let before = self.pace.meter.status();
         change(&mut self.pace.meter);
         let after = self.pace.meter.status();
@@ -622,7 +622,7 @@
 
     fn ready(&mut self, now: Time, ready: bool, world: &mut World<'_>, out: &mut Vec<Action>) {
         if ready && !self.site.ready {
-            self.limit.warm(now, self.site.ramp);
+            self.limit.start_ramp(now, self.site.ramp);
             self.doubt(now, Doubt::Unreported, out);
         }
         self.site.ready = ready;
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -105,7 +105,9 @@
         };
         let loan = match world.policy.retries {
             Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
+            Retries::Allowance => call
+                .purse(world.proxy.allowances())
+                .map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -115,7 +117,7 @@
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
         self.balancer.record_sent(now, &peer);
-        if let Some(hint) = self.hints.due(now, &peer, life) {
+        if let Some(hint) = self.hints.pending(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
         out.push(Action::Send {
@@ -162,7 +164,7 @@
         world: &mut World<'_>,
         out: &mut Vec<Action>,
     ) {
-        self.hints.note(now, peer, report.life, report.hint, true);
+        self.hints.record(now, peer, report.life, report.hint, true);
         let Some(number) = self.heard(now, peer, request, &report, world) else {
             return;
         };
@@ -525,7 +527,7 @@
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
-        let Some(purse) = call.purse(world.proxy.purses()) else {
+        let Some(purse) = call.purse(world.proxy.allowances()) else {
             return false;
         };
         let further = purse.remaining() > 0 && !no_retry;
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -79,10 +79,10 @@
             return;
         };
         if call.context.key.is_none() && call.context.parent.is_none() {
-            world.proxy.call_failed(now);
+            world.proxy.record_call_failure(now);
         }
         if let Some(parent) = call.context.parent
-            && let Some(purse) = world.proxy.purses().get_mut(&parent)
+            && let Some(purse) = world.proxy.allowances().get_mut(&parent)
         {
             purse.no_retry = true;
         }
@@ -177,7 +177,8 @@
         report: &Report,
         world: &mut World<'_>,
     ) -> Option<id::Call> {
-        self.hints.note(now, peer, report.life, report.hint, false);
+        self.hints
+            .record(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
         world.quota.heard(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
@@ -221,7 +222,7 @@
         };
         let loan = std::mem::take(&mut attempt.loan);
         let call = self.calls.get_mut(&attempt.call);
-        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.purses())) {
+        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.allowances())) {
             purse.release(loan, spent);
         }
     }
@@ -245,7 +246,9 @@
             return;
         };
         if let Some(maker) = call.maker {
-            world.proxy.returned(now, maker, call.connection);
+            world
+                .proxy
+                .record_call_answered(now, maker, call.connection);
         }
         self.timers.remove(&(call.wake, number));
         if let Some(parent) = call.context.parent
