--- a/src/request/balance.rs
+++ b/src/request/balance.rs
@@ -1,11 +1,11 @@
-//! Which instance of a pool gets an attempt.
+//! Load balancing: selects the instance of a pool for each attempt.
 //!
-//! Of two instances drawn at random the less loaded one is taken. The load is
-//! what an inbound proxy told with its answers, plus what was sent since; it is
-//! taken relative to the slots it told, which grow slowly after a start.
-//! Failures make an instance look fuller than it is, because one that fails
-//! fast is always empty. What a health or load endpoint says only makes an
-//! instance look smaller.
+//! Uses the power of two random choices: the less loaded of two random instances
+//! gets the attempt. The load is what the inbound proxy reported with its
+//! responses plus the attempts sent since, relative to the reported slots, which
+//! grow slowly after a start. Failures raise the apparent utilization of an
+//! instance, because one that fails fast always looks idle. A health or load
+//! endpoint can only lower the apparent capacity of an instance.
 
 mod subset;
 
@@ -36,57 +36,59 @@
     policy::Policy, //
 };
 
-/// Time over which a reported load fades.
-const LOAD_FADE: Span = Span::from_secs(2);
-/// How long an instance counts as leaving after it reported so. Longer than a
-/// cancelled drain takes to reach all members.
+/// Time over which the weight of a reported load decays to zero.
+const LOAD_REPORT_DECAY: Span = Span::from_secs(2);
+/// How long an instance counts as leaving after it reported so. Longer than the
+/// members need to learn that a drain was cancelled.
 const LEAVING_TIMEOUT: Span = Span::from_secs(1);
-/// Weight of the newest outcome in an instance's success rate.
+/// Weight of the latest outcome in an instance's success rate.
 const SUCCESS_EWMA_WEIGHT: f64 = 0.1;
-/// An instance that succeeds less often is ejected, after this many outcomes.
-const MIN_SUCCESS: f64 = 0.5;
+/// An instance is ejected if its success rate is below `MIN_SUCCESS_RATE` after
+/// at least `MIN_OUTCOMES` outcomes.
+const MIN_SUCCESS_RATE: f64 = 0.5;
 const MIN_OUTCOMES: u32 = 8;
-/// Length of the first ejection, doubled each time, and of the longest.
+/// Duration of the first ejection, which doubles each time up to `MAX_EJECTION`.
 const FIRST_EJECTION: Span = Span::from_secs(1);
 const MAX_EJECTION: Span = Span::from_secs(30);
-/// Time after its last outcome in which an instance's failures are forgotten.
-const FAILURE_FADE: Span = Span::from_secs(5);
-/// When more than this share of a pool looks ill, nobody is left out: then the
-/// fault is likely not theirs, and the rest could not carry it.
-const PANIC_SHARE: f64 = 0.5;
-/// Use of an instance of the own domain up to which a request surely finds a
-/// slot there, so that one further away could not answer earlier.
-const SPILL_USE: f64 = 0.85;
-/// How much less an instance of another domain must be used to get a request.
-/// Loads are known late and differ by chance, so following each small difference
-/// would move bytes between domains without shortening any wait.
+/// Time since the last outcome after which an instance's failures no longer count.
+const FAILURE_DECAY: Span = Span::from_secs(5);
+/// If more than this fraction of a pool is ejected, ejections are ignored: the
+/// fault is probably elsewhere, and the rest could not carry the load.
+const PANIC_THRESHOLD: f64 = 0.5;
+/// Utilization of a local instance up to which a request certainly gets a slot
+/// there, so an instance in another domain could not respond earlier.
+const MAX_LOCAL_UTILIZATION: f64 = 0.85;
+/// How much lower the utilization of an instance in another domain must be for it
+/// to get a request. Load reports are delayed and vary randomly, so reacting to
+/// every small difference would cause cross-domain traffic without shorter waits.
 const MIN_CROSS_DOMAIN_GAIN: f64 = 0.2;
-/// The weights of the newest report in a route's usual time of service, and in how
-/// much slower than usual an instance is.
-const USUAL_WEIGHT: f64 = 0.02;
-const SLOWNESS_WEIGHT: f64 = 0.05;
-/// Bound on how much slower or faster an instance may seem.
+/// Weights of the latest report in a route's average service time, and in an
+/// instance's slowness relative to that average.
+const SERVICE_TIME_EWMA_WEIGHT: f64 = 0.02;
+const SLOWNESS_EWMA_WEIGHT: f64 = 0.05;
+/// Upper bound on an instance's relative slowness; its inverse is the lower bound.
 const MAX_SLOWNESS: f64 = 4.0;
-/// How long an instance whose upstream names a limit may go without a request. Others
-/// look emptier all the time, and only an answer tells that the limit is over.
-const LIMITED_RETRY_INTERVAL: Span = Span::from_secs(2);
-/// Slots of an instance that has reported none.
+/// How long an instance whose upstream names a limit can go without a request.
+/// Other instances always look less loaded, and only a response shows that the
+/// limit has been lifted.
+const LIMITED_PROBE_INTERVAL: Span = Span::from_secs(2);
+/// Assumed slots of an instance that hasn't sent a report yet.
 const DEFAULT_SLOTS: f64 = 4.0;
 
-/// What is known of one instance.
+/// Load and health of one instance as seen by this node.
 #[derive(Clone, Debug)]
-struct View {
-    life: Incarnation,
+struct InstanceStats {
+    incarnation: Incarnation,
     outstanding: u32,
-    /// When the last attempt was sent to it.
-    sent: Time,
-    told: Option<LoadReport>,
-    /// Its time of service, relative to that of all instances.
+    /// When the last attempt was sent.
+    last_sent: Time,
+    report: Option<LoadReport>,
+    /// Its service time relative to the average over all instances.
     slowness: f64,
-    success: f64,
-    marked: Time,
+    success_rate: f64,
+    last_observed: Time,
     outcomes: u32,
-    ejected: Time,
+    ejected_until: Time,
     ejections: u32,
 }
 
@@ -98,43 +100,44 @@
     outstanding: u32,
     level: u16,
     leaving: bool,
-    /// Its upstream names a limit.
+    /// Whether the upstream names a rate limit in its responses.
     limited: bool,
 }
 
-/// How an attempt at an instance ended, as far as it tells of the instance.
+/// What the end of an attempt says about the health of its instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It does its work, also when that is refusing under overload.
+    /// The instance works as intended; shedding load under overload counts as such.
     Healthy,
-    /// It failed by its own fault.
+    /// The instance is at fault for the failure.
     Unhealthy,
-    /// Nothing can be said.
+    /// The end of the attempt says nothing about the instance.
     Neutral,
 }
 
-/// All instances that this node sends to.
+/// Load balancer over all instances that this node sends attempts to.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     domain: Domain,
     subsets: Subsets,
-    views: BTreeMap<Instance, View>,
-    /// The usual time of service of each route in ms, over all instances.
-    usual: BTreeMap<Route, f64>,
+    stats: BTreeMap<Instance, InstanceStats>,
+    /// Average service time of each route over all instances, in milliseconds.
+    service_times: BTreeMap<Route, f64>,
 }
 
 impl Balancer {
-    /// A balancer for this node.
+    /// Creates a balancer for the node described by `own`.
     pub fn new(own: &Peer) -> Self {
         Self {
             domain: own.domain.clone(),
             subsets: Subsets::new(own),
-            views: BTreeMap::new(),
-            usual: BTreeMap::new(),
+            stats: BTreeMap::new(),
+            service_times: BTreeMap::new(),
         }
     }
 
-    /// Picks an instance, and its present life.
+    /// Selects an instance of a pool and returns it with its current incarnation.
+    /// Prefers instances that are not in `tried`.
     pub fn pick(
         &mut self,
         now: Time,
@@ -144,32 +147,36 @@
         policy: Policy,
         rng: &mut ChaCha8Rng,
     ) -> Option<(Instance, Incarnation)> {
-        let subset = self.subsets.of(now, members, pool);
+        let subset = self.subsets.instances(now, members, pool);
         let peers: Vec<&Peer> = subset.iter().filter_map(|name| members.get(name)).collect();
-        let usable = self.usable(now, members, &peers, policy);
-        let mut fresh: Vec<&Peer> = usable
+        let candidates = self.candidates(now, members, &peers, policy);
+        let mut untried: Vec<&Peer> = candidates
             .iter()
             .copied()
             .filter(|peer| !tried.contains(&peer.instance))
             .collect();
-        let elsewhere = |peer: &&Peer| {
-            let mut used = tried.iter().filter_map(|name| members.get(name));
-            !used.any(|other| other.domain == peer.domain)
+        let in_new_domain = |peer: &&Peer| {
+            let mut tried_peers = tried.iter().filter_map(|name| members.get(name));
+            !tried_peers.any(|other| other.domain == peer.domain)
         };
-        if !tried.is_empty() && policy.domain && fresh.iter().any(elsewhere) {
-            fresh.retain(|peer| elsewhere(peer));
+        if !tried.is_empty() && policy.domain && untried.iter().any(in_new_domain) {
+            untried.retain(|peer| in_new_domain(peer));
         }
-        let due = fresh.iter().find(|peer| self.is_due(now, peer)).copied();
-        let chosen = match (due, fresh.is_empty()) {
-            (Some(due), _) if tried.is_empty() => due,
-            (_, true) => self.choose(now, &usable, policy, rng)?,
-            (_, false) => self.choose(now, &fresh, policy, rng)?,
+        let probe = untried
+            .iter()
+            .find(|peer| self.is_probe_due(now, peer))
+            .copied();
+        let chosen = match (probe, untried.is_empty()) {
+            (Some(probe), _) if tried.is_empty() => probe,
+            (_, true) => self.pick_by_domain(now, &candidates, policy, rng)?,
+            (_, false) => self.pick_by_domain(now, &untried, policy, rng)?,
         };
-        let life = self.life(chosen);
-        Some((chosen.instance.clone(), life))
+        let incarnation = self.incarnation(chosen);
+        Some((chosen.instance.clone(), incarnation))
     }
 
-    /// Whether an instance not yet tried would let this rank pass.
+    /// Returns whether any instance not in `tried` would admit a request of this
+    /// rank, according to its last report.
     pub fn admits_elsewhere(
         &self,
         members: &Table,
@@ -181,12 +188,15 @@
             .serving(pool)
             .filter(|peer| !tried.contains(&peer.instance))
             .any(|peer| {
-                let told = self.views.get(&peer.instance).and_then(|view| view.told);
-                told.is_none_or(|told| told.level <= rank)
+                let report = self
+                    .stats
+                    .get(&peer.instance)
+                    .and_then(|stats| stats.report);
+                report.is_none_or(|report| report.level <= rank)
             })
     }
 
-    /// Picks one of these instances, and its present life.
+    /// Selects one of the given instances and returns it with its current incarnation.
     pub fn pick_from(
         &mut self,
         now: Time,
@@ -196,181 +206,188 @@
         rng: &mut ChaCha8Rng,
     ) -> Option<(Instance, Incarnation)> {
         let peers: Vec<&Peer> = names.iter().filter_map(|name| members.get(name)).collect();
-        let usable = self.usable(now, members, &peers, policy);
-        let chosen = self.better(now, &usable, policy, rng)?;
-        Some((chosen.instance.clone(), self.life(chosen)))
+        let candidates = self.candidates(now, members, &peers, policy);
+        let chosen = self.pick_of_two(now, &candidates, policy, rng)?;
+        Some((chosen.instance.clone(), self.incarnation(chosen)))
     }
 
-    /// Forgets an instance that is gone. One that comes back under its name is
-    /// judged anew.
+    /// Drops the statistics of an instance that has gone, so that one that comes back
+    /// under the same name starts afresh.
     pub fn forget(&mut self, instance: &Instance) {
-        self.views.remove(instance);
+        self.stats.remove(instance);
     }
 
-    /// Whether there is an instance that has not been tried.
+    /// Returns whether the pool has an alive instance that is not in `tried`.
     pub fn has_untried(&self, members: &Table, pool: &Pool, tried: &[Instance]) -> bool {
-        let mut there = members
+        let mut alive = members
             .serving(pool)
             .filter(|peer| peer.status == Status::Alive);
-        there.any(|peer| !tried.contains(&peer.instance))
+        alive.any(|peer| !tried.contains(&peer.instance))
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent to an instance.
     pub fn record_sent(&mut self, now: Time, peer: &Instance) {
-        let view = self.view(peer);
-        view.outstanding += 1;
-        view.sent = now;
+        let stats = self.stats_mut(peer);
+        stats.outstanding += 1;
+        stats.last_sent = now;
     }
 
-    /// An inbound proxy told its state.
+    /// Records a report from an inbound proxy.
     pub fn record_report(&mut self, now: Time, peer: &Instance, report: &Report) {
-        let view = self.view(peer);
-        if report.life < view.life {
+        let stats = self.stats_mut(peer);
+        if report.life < stats.incarnation {
             return;
         }
-        if report.life > view.life {
-            view.reborn(report.life);
+        if report.life > stats.incarnation {
+            stats.reset(report.life);
         }
-        view.told = Some(LoadReport {
+        stats.report = Some(LoadReport {
             at: now,
             load: report.load,
             slots: report.slots,
-            outstanding: view.outstanding,
+            outstanding: stats.outstanding,
             level: report.level,
             leaving: report.leaving,
             limited: report.hint.is_some_and(|hint| hint.limit.is_some()),
         });
     }
 
-    /// An instance told how long it usually serves a route.
+    /// Records the average service time that an instance reports for a route.
     pub fn record_service_time(&mut self, peer: &Instance, route: &Route, service_ms: u32) {
         if service_ms == 0 {
             return;
         }
         let service = f64::from(service_ms);
-        let usual = self.usual.entry(route.clone()).or_insert(service);
-        *usual += (service - *usual) * USUAL_WEIGHT;
-        let slower = (service / *usual).clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS);
-        let view = self.view(peer);
-        view.slowness += (slower - view.slowness) * SLOWNESS_WEIGHT;
+        let average = self.service_times.entry(route.clone()).or_insert(service);
+        *average += (service - *average) * SERVICE_TIME_EWMA_WEIGHT;
+        let relative = (service / *average).clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS);
+        let stats = self.stats_mut(peer);
+        stats.slowness += (relative - stats.slowness) * SLOWNESS_EWMA_WEIGHT;
     }
 
-    /// An attempt has ended.
-    pub fn record_end(&mut self, now: Time, peer: &Instance, mark: Observation) {
-        let view = self.view(peer);
-        view.outstanding = view.outstanding.saturating_sub(1);
-        let success = match mark {
+    /// Records that an attempt has ended and ejects the instance if it fails too often.
+    pub fn record_end(&mut self, now: Time, peer: &Instance, observation: Observation) {
+        let stats = self.stats_mut(peer);
+        stats.outstanding = stats.outstanding.saturating_sub(1);
+        let success = match observation {
             Observation::Healthy => 1.0,
             Observation::Unhealthy => 0.0,
             Observation::Neutral => return,
         };
-        view.success += (success - view.success) * SUCCESS_EWMA_WEIGHT;
-        view.marked = now;
-        view.outcomes += 1;
-        if view.outcomes >= MIN_OUTCOMES && view.success < MIN_SUCCESS {
-            view.eject(now);
+        stats.success_rate += (success - stats.success_rate) * SUCCESS_EWMA_WEIGHT;
+        stats.last_observed = now;
+        stats.outcomes += 1;
+        if stats.outcomes >= MIN_OUTCOMES && stats.success_rate < MIN_SUCCESS_RATE {
+            stats.eject(now);
         }
     }
 
-    /// The life that attempts to a peer are addressed to: the newest heard of.
-    fn life(&self, peer: &Peer) -> Incarnation {
-        let told = self.views.get(&peer.instance).map(|view| view.life);
-        told.unwrap_or_default().max(peer.incarnation)
+    /// Returns the newest known incarnation of a peer, to which attempts are addressed.
+    fn incarnation(&self, peer: &Peer) -> Incarnation {
+        let seen = self
+            .stats
+            .get(&peer.instance)
+            .map(|stats| stats.incarnation);
+        seen.unwrap_or_default().max(peer.incarnation)
     }
 
-    fn view(&mut self, peer: &Instance) -> &mut View {
-        self.views.entry(peer.clone()).or_default()
+    fn stats_mut(&mut self, peer: &Instance) -> &mut InstanceStats {
+        self.stats.entry(peer.clone()).or_default()
     }
 
-    /// Those that may be picked. Rather one that is suspected or looks ill than
-    /// none at all; one that has just told that it leaves is no choice.
-    fn usable<'a>(
+    /// Returns the peers that can be selected. Falls back to suspected or ejected
+    /// peers if there are no others, but never to one that has just reported that it
+    /// is leaving.
+    fn candidates<'a>(
         &self,
         now: Time,
         members: &Table,
         peers: &[&'a Peer],
         policy: Policy,
     ) -> Vec<&'a Peer> {
-        let here = |peer: &&&Peer| members.takes_work(peer) && !self.leaving(now, peer);
+        let accepts_work = |peer: &&&Peer| members.takes_work(peer) && !self.is_leaving(now, peer);
         let alive: Vec<&Peer> = peers
             .iter()
-            .filter(here)
+            .filter(accepts_work)
             .filter(|peer| peer.status == Status::Alive)
             .copied()
             .collect();
         if alive.is_empty() {
-            let suspect = peers.iter().filter(here);
-            return suspect
+            let suspects = peers.iter().filter(accepts_work);
+            return suspects
                 .filter(|peer| peer.status == Status::Suspect)
                 .copied()
                 .collect();
         }
-        let well = |peer: &&&Peer| {
-            let view = self.views.get(&peer.instance);
-            view.is_none_or(|view| view.ejected <= now)
+        let not_ejected = |peer: &&&Peer| {
+            let stats = self.stats.get(&peer.instance);
+            stats.is_none_or(|stats| stats.ejected_until <= now)
         };
-        let fit: Vec<&Peer> = alive.iter().filter(well).copied().collect();
-        let ejected = (alive.len() - fit.len()) as f64;
-        let panic = ejected > alive.len() as f64 * PANIC_SHARE;
+        let healthy: Vec<&Peer> = alive.iter().filter(not_ejected).copied().collect();
+        let ejected = (alive.len() - healthy.len()) as f64;
+        let panic = ejected > alive.len() as f64 * PANIC_THRESHOLD;
         match panic || !policy.ejection {
             true => alive,
-            false => fit,
+            false => healthy,
         }
     }
 
-    /// Whether an instance that is limited is to be tried again, to hear whether it
-    /// still is.
-    fn is_due(&self, now: Time, peer: &Peer) -> bool {
-        let view = self.views.get(&peer.instance);
-        view.is_some_and(|view| {
-            let limited = view.told.is_some_and(|told| told.limited);
-            limited && view.outstanding == 0 && now.since(view.sent) >= LIMITED_RETRY_INTERVAL
+    /// Returns whether a rate-limited instance is due for a request that finds out
+    /// whether the limit still applies.
+    fn is_probe_due(&self, now: Time, peer: &Peer) -> bool {
+        let stats = self.stats.get(&peer.instance);
+        stats.is_some_and(|stats| {
+            let limited = stats.report.is_some_and(|report| report.limited);
+            limited
+                && stats.outstanding == 0
+                && now.since(stats.last_sent) >= LIMITED_PROBE_INTERVAL
         })
     }
 
-    /// Whether an instance told of late that it leaves.
+    /// Returns whether an instance has recently reported that it is leaving.
     ///
-    /// Guards against a drain that is called off: the members say that the
-    /// instance takes requests again, and what it told before must not outlive
-    /// that. While it does leave, the members say so within this time.
-    fn leaving(&self, now: Time, peer: &Peer) -> bool {
-        let view = self.views.get(&peer.instance);
-        view.is_some_and(|view| {
-            let told = view
-                .told
-                .filter(|told| now.since(told.at) <= LEAVING_TIMEOUT);
-            peer.incarnation <= view.life && told.is_some_and(|told| told.leaving)
+    /// The report expires after [`LEAVING_TIMEOUT`]: if a drain is cancelled, the
+    /// member table says that the instance takes requests again, and an earlier
+    /// report must not override that. If the instance does leave, the member table
+    /// says so within the same time.
+    fn is_leaving(&self, now: Time, peer: &Peer) -> bool {
+        let stats = self.stats.get(&peer.instance);
+        stats.is_some_and(|stats| {
+            let report = stats
+                .report
+                .filter(|report| now.since(report.at) <= LEAVING_TIMEOUT);
+            peer.incarnation <= stats.incarnation && report.is_some_and(|report| report.leaving)
         })
     }
 
-    fn choose<'a>(
+    fn pick_by_domain<'a>(
         &self,
         now: Time,
         peers: &[&'a Peer],
         policy: Policy,
         rng: &mut ChaCha8Rng,
     ) -> Option<&'a Peer> {
-        let (near, far): (Vec<_>, Vec<_>) = peers
+        let (local_peers, remote_peers): (Vec<_>, Vec<_>) = peers
             .iter()
             .copied()
             .partition(|peer| peer.domain == self.domain);
-        if near.is_empty() || far.is_empty() || !policy.domain {
-            return self.better(now, peers, policy, rng);
+        if local_peers.is_empty() || remote_peers.is_empty() || !policy.domain {
+            return self.pick_of_two(now, peers, policy, rng);
         }
-        let home = self.better(now, &near, policy, rng)?;
-        let used = self.used(now, home);
-        if used <= SPILL_USE {
-            return Some(home);
+        let local = self.pick_of_two(now, &local_peers, policy, rng)?;
+        let local_utilization = self.utilization(now, local);
+        if local_utilization <= MAX_LOCAL_UTILIZATION {
+            return Some(local);
         }
-        let away = self.better(now, &far, policy, rng)?;
-        match self.used(now, away) + MIN_CROSS_DOMAIN_GAIN < used {
-            true => Some(away),
-            false => Some(home),
+        let remote = self.pick_of_two(now, &remote_peers, policy, rng)?;
+        match self.utilization(now, remote) + MIN_CROSS_DOMAIN_GAIN < local_utilization {
+            true => Some(remote),
+            false => Some(local),
         }
     }
 
-    /// The better of two.
-    fn better<'a>(
+    /// Returns the one with the shorter expected time of two random peers.
+    fn pick_of_two<'a>(
         &self,
         now: Time,
         peers: &[&'a Peer],
@@ -386,79 +403,85 @@
         }
         let second = (first + rng.random_range(1..peers.len())) % peers.len();
         let (a, b) = (peers[first], peers[second]);
-        match self.time(now, b) < self.time(now, a) {
+        match self.expected_time(now, b) < self.expected_time(now, a) {
             true => Some(b),
             false => Some(a),
         }
     }
 
-    /// How long a request more would take at an instance, in usual times of service.
-    fn time(&self, now: Time, peer: &Peer) -> f64 {
-        let slowness = self.views.get(&peer.instance).map_or(1.0, |v| v.slowness);
-        self.used(now, peer) * slowness
+    /// Estimates how long one more request would take at an instance, in units of the
+    /// average service time.
+    fn expected_time(&self, now: Time, peer: &Peer) -> f64 {
+        let slowness = self
+            .stats
+            .get(&peer.instance)
+            .map_or(1.0, |stats| stats.slowness);
+        self.utilization(now, peer) * slowness
     }
 
-    /// How full an instance would be with one request more.
-    fn used(&self, now: Time, peer: &Peer) -> f64 {
-        let Some(view) = self.views.get(&peer.instance) else {
+    /// Estimates the utilization of an instance with one more request. Poor health
+    /// raises it.
+    fn utilization(&self, now: Time, peer: &Peer) -> f64 {
+        let Some(stats) = self.stats.get(&peer.instance) else {
             return 1.0 / DEFAULT_SLOTS;
         };
-        let slots = view
-            .told
-            .map_or(DEFAULT_SLOTS, |told| f64::from(told.slots.max(1)));
-        let health = view.health(now).max(0.05).powi(2);
-        (view.load(now) + 1.0) / (slots * health)
+        let slots = stats
+            .report
+            .map_or(DEFAULT_SLOTS, |report| f64::from(report.slots.max(1)));
+        let health = stats.health(now).max(0.05).powi(2);
+        (stats.load(now) + 1.0) / (slots * health)
     }
 }
 
-impl Default for View {
+impl Default for InstanceStats {
     fn default() -> Self {
         Self {
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
             outstanding: 0,
-            sent: Time::ZERO,
-            told: None,
+            last_sent: Time::ZERO,
+            report: None,
             slowness: 1.0,
-            success: 1.0,
-            marked: Time::ZERO,
+            success_rate: 1.0,
+            last_observed: Time::ZERO,
             outcomes: 0,
-            ejected: Time::ZERO,
+            ejected_until: Time::ZERO,
             ejections: 0,
         }
     }
 }
 
-impl View {
+impl InstanceStats {
     fn load(&self, now: Time) -> f64 {
         let own = f64::from(self.outstanding);
-        let Some(told) = self.told else {
+        let Some(report) = self.report else {
             return own;
         };
-        let others = told.load.saturating_sub(told.outstanding);
-        let age = now.since(told.at).as_ms() as f64 / LOAD_FADE.as_ms() as f64;
+        let others = report.load.saturating_sub(report.outstanding);
+        let age = now.since(report.at).as_ms() as f64 / LOAD_REPORT_DECAY.as_ms() as f64;
         own + f64::from(others) * (1.0 - age).max(0.0)
     }
 
-    /// The success, drawn towards one while nothing is heard: an instance that
-    /// looks too ill to be tried would never be found well again.
+    /// Returns the success rate, which recovers towards 1 while there are no new
+    /// outcomes. Otherwise an instance that looks too unhealthy to be selected could
+    /// never be found healthy again.
     fn health(&self, now: Time) -> f64 {
-        let quiet = now.since(self.marked).as_ms() as f64 / FAILURE_FADE.as_ms() as f64;
-        self.success + (1.0 - self.success) * quiet.min(1.0)
+        let elapsed = now.since(self.last_observed).as_ms() as f64 / FAILURE_DECAY.as_ms() as f64;
+        self.success_rate + (1.0 - self.success_rate) * elapsed.min(1.0)
     }
 
     fn eject(&mut self, now: Time) {
         let factor = 1 << self.ejections.min(5);
-        let span = Span::from_ms(FIRST_EJECTION.as_ms() * factor).min(MAX_EJECTION);
+        let duration = Span::from_ms(FIRST_EJECTION.as_ms() * factor).min(MAX_EJECTION);
         self.ejections += 1;
-        self.ejected = now + span;
-        // It comes back on probation: a few failures put it out again.
+        self.ejected_until = now + duration;
+        // After the ejection, a few failures are enough to eject it again.
         self.outcomes = MIN_OUTCOMES / 2;
-        self.success = MIN_SUCCESS;
+        self.success_rate = MIN_SUCCESS_RATE;
     }
 
-    fn reborn(&mut self, life: Incarnation) {
+    fn reset(&mut self, incarnation: Incarnation) {
         *self = Self {
-            life,
+            incarnation,
             outstanding: self.outstanding,
             ..Self::default()
         };
--- a/src/request/balance/subset.rs
+++ b/src/request/balance/subset.rs
@@ -1,9 +1,9 @@
-//! The bounded part of a pool that this node keeps links to.
+//! Subsetting: limits the instances of a pool that this node keeps links to.
 //!
-//! Rendezvous hashing picks it: a few instances of the own domain and a few of
-//! the others. So links do not grow with the square of the fleet, an instance
-//! that comes or goes moves few others, and all nodes together still spread
-//! evenly.
+//! Rendezvous hashing selects a few instances of the local domain and a few of
+//! the other domains. The number of links does not grow with the square of the
+//! fleet, an instance that joins or leaves changes few subsets, and the nodes
+//! together still spread their load evenly.
 
 use std::collections::BTreeMap;
 
@@ -26,19 +26,20 @@
     },
 };
 
-/// Instances of the own domain, and of all others.
-const NEAR: usize = 8;
-const FAR: usize = 8;
-/// How long a subset is kept before the members are looked at again.
-const KEEP: Span = Span::from_ms(100);
+/// Maximum number of instances in a subset: from the local domain, and from all
+/// other domains together.
+const MAX_LOCAL_INSTANCES: usize = 8;
+const MAX_REMOTE_INSTANCES: usize = 8;
+/// How long a subset is used before it is computed again from the member table.
+const REFRESH_INTERVAL: Span = Span::from_ms(100);
 
 #[derive(Clone, Debug, Default)]
 struct Subset {
-    until: Time,
+    valid_until: Time,
     instances: Vec<Instance>,
 }
 
-/// The subsets of all pools.
+/// This node's subset of each pool.
 #[derive(Clone, Debug)]
 pub struct Subsets {
     domain: Domain,
@@ -47,7 +48,7 @@
 }
 
 impl Subsets {
-    /// The subsets of this node.
+    /// Creates the subsets of the node described by `own`.
     pub fn new(own: &Peer) -> Self {
         Self {
             domain: own.domain.clone(),
@@ -56,32 +57,32 @@
         }
     }
 
-    /// The instances of a pool that this node sends to.
-    pub fn of(&mut self, now: Time, members: &Table, pool: &Pool) -> &[Instance] {
+    /// Returns the instances of a pool that this node sends attempts to.
+    pub fn instances(&mut self, now: Time, members: &Table, pool: &Pool) -> &[Instance] {
         let subset = self.pools.entry(pool.clone()).or_default();
-        if subset.until <= now || subset.instances.is_empty() {
-            subset.until = now + KEEP;
-            subset.instances = draw(&self.domain, self.seed, members, pool);
+        if subset.valid_until <= now || subset.instances.is_empty() {
+            subset.valid_until = now + REFRESH_INTERVAL;
+            subset.instances = select(&self.domain, self.seed, members, pool);
         }
         &subset.instances
     }
 }
 
-fn draw(domain: &Domain, seed: u64, members: &Table, pool: &Pool) -> Vec<Instance> {
-    let here = |peer: &&Peer| {
+fn select(domain: &Domain, seed: u64, members: &Table, pool: &Pool) -> Vec<Instance> {
+    let eligible = |peer: &&Peer| {
         peer.pool == *pool && members.takes_work(peer) && peer.status != Status::Dead
     };
-    let (mut near, mut far): (Vec<_>, Vec<_>) = members
+    let (mut local, mut remote): (Vec<_>, Vec<_>) = members
         .iter()
-        .filter(here)
+        .filter(eligible)
         .map(|peer| (hash(&peer.instance, seed), peer))
         .partition(|(_, peer)| peer.domain == *domain);
-    near.sort_by_key(|(hash, _)| *hash);
-    far.sort_by_key(|(hash, _)| *hash);
-    near.truncate(NEAR);
-    far.truncate(FAR);
-    let drawn = near.into_iter().chain(far);
-    drawn.map(|(_, peer)| peer.instance.clone()).collect()
+    local.sort_by_key(|(hash, _)| *hash);
+    remote.sort_by_key(|(hash, _)| *hash);
+    local.truncate(MAX_LOCAL_INSTANCES);
+    remote.truncate(MAX_REMOTE_INSTANCES);
+    let selected = local.into_iter().chain(remote);
+    selected.map(|(_, peer)| peer.instance.clone()).collect()
 }
 
 fn hash(instance: &Instance, seed: u64) -> u64 {
