--- a/src/connection/header.rs
+++ b/src/connection/header.rs
@@ -227,7 +227,7 @@
     add(names.token, told.token.to_string());
     add(names.root, context.root.to_string());
     add(Some(names.left), context.left.as_ms().to_string());
-    if let Some(team) = &context.team_of_key() {
+    if let Some(team) = &context.authenticated_team() {
         add(names.team, team.to_string());
     }
     if let Some(origin) = &context.origin {
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -20,8 +20,8 @@
         Time, //
     },
     context::{
-        Begin,
-        Importance, //
+        Importance,
+        StartLimit, //
     },
     id::{
         Grant,
@@ -298,14 +298,14 @@
     /// Until when a root may begin at another node, when its token has this time
     /// left. A report was under way before it came, so that clock has moved on at
     /// least as far as this one since, and the time told is never too late.
-    pub fn begin(&self, now: Time, peer: &Instance, life: Incarnation, left: Span) -> Begin {
+    pub fn begin(&self, now: Time, peer: &Instance, life: Incarnation, left: Span) -> StartLimit {
         match self.clocks.get(peer).filter(|heard| heard.life == life) {
             Some(heard) => {
                 let passed = now.since(heard.at).as_ms();
                 let clock = heard.clock + passed - passed / DRIFT;
-                Begin::Clock(clock + left.as_ms())
+                StartLimit::Clock(clock + left.as_ms())
             }
-            None => Begin::Within(left - TRANSIT),
+            None => StartLimit::Within(left - TRANSIT),
         }
     }
 
--- a/src/request/comeback.rs
+++ b/src/request/comeback.rs
@@ -37,34 +37,34 @@
     /// The time within which an answer is of full use, counted from the arrival.
     pub target: Option<Span>,
     /// How long serving such a request usually takes.
-    pub usual: Span,
+    pub service_time: Span,
     /// Time until what was missing is there again, as far as it is known.
-    pub soonest: Span,
+    pub earliest: Span,
 }
 
 impl Refusal {
     /// How long the caller should wait; nothing where coming back makes no sense.
-    pub fn wait(&self, rng: &mut ChaCha8Rng) -> Option<Span> {
-        let usual = self.code.retry_after()?;
-        let Some(target) = self.target.filter(|_| passes(self.code)) else {
-            return Some(usual);
+    pub fn retry_after(&self, rng: &mut ChaCha8Rng) -> Option<Span> {
+        let default_wait = self.code.retry_after()?;
+        let Some(target) = self.target.filter(|_| admits_some(self.code)) else {
+            return Some(default_wait);
         };
-        let willing = self.left.scale(MAX_WAIT_FRACTION);
-        let in_time = (target - self.waited - self.usual).min(willing);
-        if in_time >= MIN_WAIT && in_time >= self.soonest {
-            let least = in_time.scale(MIN_WAIT_FRACTION).max(self.soonest);
-            let spread = (in_time - least).scale(rng.random_range(0.0..=1.0));
-            return Some(least.max(MIN_WAIT) + spread);
+        let max_wait = self.left.scale(MAX_WAIT_FRACTION);
+        let time_to_target = (target - self.waited - self.service_time).min(max_wait);
+        if time_to_target >= MIN_WAIT && time_to_target >= self.earliest {
+            let min_wait = time_to_target.scale(MIN_WAIT_FRACTION).max(self.earliest);
+            let jitter = (time_to_target - min_wait).scale(rng.random_range(0.0..=1.0));
+            return Some(min_wait.max(MIN_WAIT) + jitter);
         }
-        let late = usual.max(self.soonest).min(willing).max(MIN_WAIT);
-        let late = late.scale(rng.random_range(MIN_LATE_FRACTION..=1.0));
-        Some(late.max(self.soonest.min(willing)))
+        let wait = default_wait.max(self.earliest).min(max_wait).max(MIN_WAIT);
+        let wait = wait.scale(rng.random_range(MIN_LATE_FRACTION..=1.0));
+        Some(wait.max(self.earliest.min(max_wait)))
     }
 }
 
 /// Whether the cause is one that lets some requests pass at any moment. The others
 /// are states that end for all at once.
-const fn passes(code: Code) -> bool {
+const fn admits_some(code: Code) -> bool {
     matches!(
         code,
         Code::RateExceeded
--- a/src/request/context.rs
+++ b/src/request/context.rs
@@ -54,7 +54,7 @@
 
 /// Until when a root may first begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Begin {
+pub enum StartLimit {
     /// By the receiver's own clock, as it told it in a report. However long the
     /// attempt is under way, or the receiver paused, it begins no later.
     Clock(u64),
@@ -84,7 +84,7 @@
     pub depth: u8,
     /// Until when the root may first begin, by the rate token that pays for it;
     /// at any time when absent.
-    pub begin: Option<Begin>,
+    pub begin: Option<StartLimit>,
     /// The attempt that made this nested call.
     pub parent: Option<Request>,
     /// The pool of the instance where the request began.
@@ -95,7 +95,7 @@
 
 impl Context {
     /// The team, where a key proved it.
-    pub fn team_of_key(&self) -> Option<&Team> {
+    pub fn authenticated_team(&self) -> Option<&Team> {
         self.key.as_ref().map(|_| &self.team)
     }
 }
--- a/src/request/inbound/waiting.rs
+++ b/src/request/inbound/waiting.rs
@@ -22,8 +22,8 @@
     },
     code::Code,
     context::{
-        Begin,
-        Context, //
+        Context,
+        StartLimit, //
     },
     id,
     metric::Counter,
@@ -76,8 +76,8 @@
         let deadline = now + context.left;
         let root = Time::from_ms(now.as_ms().saturating_sub(context.age.as_ms()));
         let begin = match context.begin {
-            Some(Begin::Clock(clock)) => Time::from_ms(clock),
-            Some(Begin::Within(left)) => now + left,
+            Some(StartLimit::Clock(clock)) => Time::from_ms(clock),
+            Some(StartLimit::Within(left)) => now + left,
             None => Time::NEVER,
         };
         Self {
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -63,13 +63,13 @@
             waited: now.since(call.root),
             left: now.until(call.deadline),
             target: call.target,
-            usual: Span::from_ms(usual as u64),
-            soonest: match code {
+            service_time: Span::from_ms(usual as u64),
+            earliest: match code {
                 Code::RateExceeded => world.quota.wait(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
-        refusal.wait(world.rng)
+        refusal.retry_after(world.rng)
     }
 
     /// The attempt that made this call must not be tried again for its failure:
--- a/tests/policy/comeback.rs
+++ b/tests/policy/comeback.rs
@@ -26,8 +26,8 @@
         waited: Span::from_ms(20),
         left: Span::from_ms(580),
         target: Some(Span::from_ms(150)),
-        usual: Span::from_ms(45),
-        soonest: Span::ZERO,
+        service_time: Span::from_ms(45),
+        earliest: Span::ZERO,
     }
 }
 
@@ -37,7 +37,9 @@
 fn a_short_request_comes_back_while_it_is_of_use() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..200 {
-        let wait = refusal(Code::RateExceeded).wait(&mut rng).expect("a wait");
+        let wait = refusal(Code::RateExceeded)
+            .retry_after(&mut rng)
+            .expect("a wait");
         assert!(wait <= Span::from_ms(85), "{wait}");
         assert!(wait >= Span::from_ms(10), "{wait}");
     }
@@ -48,14 +50,14 @@
 #[test]
 fn a_caller_comes_back_when_there_is_a_token() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    for soonest in [0, 40, 70, 84, 150, 190].map(Span::from_ms) {
+    for earliest in [0, 40, 70, 84, 150, 190].map(Span::from_ms) {
         let asked = Refusal {
-            soonest,
+            earliest,
             ..refusal(Code::RateExceeded)
         };
         for _ in 0..100 {
-            let wait = asked.wait(&mut rng).expect("a wait");
-            assert!(wait >= soonest, "{wait} of {soonest}");
+            let wait = asked.retry_after(&mut rng).expect("a wait");
+            assert!(wait >= earliest, "{wait} of {earliest}");
             assert!(wait <= Span::from_ms(200), "a third of the time left");
         }
     }
@@ -71,7 +73,7 @@
             left: DEADLINE,
             ..refusal(Code::Shed)
         };
-        asked.wait(&mut rng).expect("a wait").as_ms()
+        asked.retry_after(&mut rng).expect("a wait").as_ms()
     });
     let mut tenths = [0; 12];
     waits.for_each(|wait| tenths[(wait / 100) as usize] += 1);
@@ -89,7 +91,7 @@
         ..refusal(Code::QueueTimeout)
     };
     for _ in 0..100 {
-        let wait = late.wait(&mut rng).expect("a wait");
+        let wait = late.retry_after(&mut rng).expect("a wait");
         assert!(wait <= Span::from_ms(154), "{wait}");
         assert!(wait >= Span::from_ms(70), "{wait}");
     }
@@ -100,9 +102,9 @@
 #[test]
 fn states_and_wrong_requests_are_told_plainly() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
-    let absent = refusal(Code::ConfigAbsent).wait(&mut rng);
+    let absent = refusal(Code::ConfigAbsent).retry_after(&mut rng);
     assert_eq!(absent, Code::ConfigAbsent.retry_after());
-    assert_eq!(refusal(Code::KeyUnknown).wait(&mut rng), None);
+    assert_eq!(refusal(Code::KeyUnknown).retry_after(&mut rng), None);
 }
 
 /// One request of a caller that tries twice.
@@ -140,8 +142,8 @@
                     waited: now.since(one.since),
                     left: DEADLINE,
                     target: Some(TARGET),
-                    usual: SERVICE,
-                    soonest: Span::ZERO,
+                    service_time: SERVICE,
+                    earliest: Span::ZERO,
                 };
                 tries.push(Try {
                     at: now + wait(&asked, &mut rng),
@@ -160,7 +162,7 @@
 #[test]
 fn tokens_buy_answers_that_are_in_time() {
     let second = in_time(|_, _| Span::from_secs(1));
-    let told = in_time(|refusal, rng| refusal.wait(rng).expect("a wait"));
+    let told = in_time(|refusal, rng| refusal.retry_after(rng).expect("a wait"));
     assert!(second <= 0.8, "{second}");
     assert!(told >= 0.98, "{told}");
 }
