--- a/src/request/comeback.rs
+++ b/src/request/comeback.rs
@@ -1,11 +1,11 @@
-//! When a caller that was refused had best come back.
+//! Computes the `Retry-After` of a refused call.
 //!
-//! Under overload, and over a rate, a share of the requests is served at any
-//! moment. A caller that asks again while its answer can still be in time gets the
-//! full use of it; one that is sent away for a fixed second may be served and be
-//! too late all the same. So the wait is taken from the time that is left until
-//! the route's target, less what serving usually takes, and spread over it: those
-//! who are refused together must not come back together.
+//! Under overload, or above a rate limit, some requests are served at any moment.
+//! A caller that retries while its response can still meet the target gets the
+//! full use of it; after a fixed wait of a second, even a successful retry may be
+//! too late. The wait is therefore derived from the time left until the route's
+//! target, minus the typical service time. It is randomized so that callers
+//! refused together don't retry together.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -15,35 +15,36 @@
     code::Code, //
 };
 
-/// The least part of the time until the target that a caller waits. Coming back
-/// at once would meet what refused it.
+/// Minimum wait as a fraction of the time until the target. An immediate retry
+/// would meet the condition that caused the refusal.
 const MIN_WAIT_FRACTION: f64 = 0.25;
 /// Lower bound of Retry-After.
 const MIN_WAIT: Span = Span::from_ms(10);
-/// The part of its time that a caller waits at most.
+/// Maximum wait as a fraction of the time until the caller's deadline.
 const MAX_WAIT_FRACTION: f64 = 1.0 / 3.0;
-/// Where the target cannot be met any more, the least part of the usual wait.
+/// Minimum fraction of the default wait if the target can't be met any more.
 const MIN_LATE_FRACTION: f64 = 0.5;
 
-/// A refusal, as far as it tells when to come back.
+/// The properties of a refusal that determine when to retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
     /// Why it was refused.
     pub code: Code,
     /// Time since the request arrived.
     pub waited: Span,
-    /// Time that its caller still has.
+    /// Time left until the caller's deadline.
     pub left: Span,
-    /// The time within which an answer is of full use, counted from the arrival.
+    /// Target latency of the route, counted from the arrival: a later response is of
+    /// less use to the caller.
     pub target: Option<Span>,
-    /// How long serving such a request usually takes.
+    /// Typical time that it takes to serve such a request.
     pub service_time: Span,
-    /// Time until what was missing is there again, as far as it is known.
+    /// Time until the missing resource is available again, zero if unknown.
     pub earliest: Span,
 }
 
 impl Refusal {
-    /// How long the caller should wait; nothing where coming back makes no sense.
+    /// Returns how long the caller should wait, or `None` if a retry is pointless.
     pub fn retry_after(&self, rng: &mut ChaCha8Rng) -> Option<Span> {
         let default_wait = self.code.retry_after()?;
         let Some(target) = self.target.filter(|_| admits_some(self.code)) else {
@@ -62,8 +63,8 @@
     }
 }
 
-/// Whether the cause is one that lets some requests pass at any moment. The others
-/// are states that end for all at once.
+/// Returns whether some requests still get through under this condition. The other
+/// conditions affect all requests until they end.
 const fn admits_some(code: Code) -> bool {
     matches!(
         code,
--- a/src/request/context.rs
+++ b/src/request/context.rs
@@ -1,4 +1,4 @@
-//! What rides with a request down the whole chain of calls.
+//! Request context that is propagated along the whole call chain.
 
 use std::fmt;
 
@@ -19,7 +19,7 @@
     },
 };
 
-/// How much a request matters. A nested call inherits it and never gains.
+/// Importance of a request. A nested call inherits it and can't raise it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,17 +27,17 @@
 pub enum Importance {
     /// Shed first.
     Low,
-    /// What a route has when its row does not say.
+    /// Default of a route whose row doesn't set it.
     #[default]
     Normal,
-    /// Shed after all normal ones.
+    /// Shed after all requests of normal importance.
     High,
     /// Shed last.
     Critical,
 }
 
 impl Importance {
-    /// Every importance, least first.
+    /// All importance levels in ascending order.
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Critical];
 }
 
@@ -52,49 +52,50 @@
     }
 }
 
-/// Until when a root may first begin.
+/// Latest time at which a root may start for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartLimit {
-    /// By the receiver's own clock, as it told it in a report. However long the
-    /// attempt is under way, or the receiver paused, it begins no later.
+    /// In milliseconds of the receiver's clock, as known from its reports. The limit
+    /// holds however long the attempt is in transit or the receiver is paused.
     Clock(u64),
-    /// Within this time of its arrival, at a receiver that has told nothing yet.
+    /// Within this time after arrival, for a receiver that hasn't reported its clock.
     Within(Span),
 }
 
-/// The part of a request that every hop shares.
+/// The part of a request that is passed on from hop to hop.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Context {
-    /// The request as the first caller sees it.
+    /// Identifies the root: the original request of an external caller.
     pub root: Root,
-    /// The team whose key came with the root.
+    /// The team that the root's API key belongs to.
     pub team: Team,
-    /// The name of that key, so that an inbound proxy can see that it was
-    /// withdrawn while the request waited. Never its secret.
+    /// Name of that key, so that an inbound proxy notices if the key is revoked
+    /// while the request is queued. Never contains the secret.
     pub key: Option<Key>,
-    /// The root's importance.
+    /// Importance of the root.
     pub importance: Importance,
-    /// Time left when this was sent. Clocks are not shared, lengths are.
+    /// Time left until the deadline when this was sent. A duration, because nodes
+    /// don't share a clock.
     pub left: Span,
-    /// Time since the root arrived, for serving older roots first.
+    /// Time since the root arrived, used to serve older roots first.
     pub age: Span,
-    /// Retries that this attempt and all below it may spend together.
+    /// Number of retries that this attempt and all calls below it may spend together.
     pub allowance: u8,
-    /// Calls above this one.
+    /// Number of calls above this one in the chain.
     pub depth: u8,
-    /// Until when the root may first begin, by the rate token that pays for it;
-    /// at any time when absent.
+    /// Latest start of the root, set by the rate token that pays for it. No limit if
+    /// absent.
     pub begin: Option<StartLimit>,
-    /// The attempt that made this nested call.
+    /// The attempt that made this call, if it is a nested call.
     pub parent: Option<Request>,
-    /// The pool of the instance where the request began.
+    /// Pool of the instance at which the request entered the fleet.
     pub origin: Option<Pool>,
-    /// The version by which the ingress let it in.
+    /// Configuration version by which the ingress admitted the request.
     pub version: Version,
 }
 
 impl Context {
-    /// The team, where a key proved it.
+    /// Returns the team if the request was authenticated with a key.
     pub fn authenticated_team(&self) -> Option<&Team> {
         self.key.as_ref().map(|_| &self.team)
     }
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! Request handling: state that lives as long as one request.
 
 pub mod admission;
 pub mod allowance;
