--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -378,13 +378,13 @@
         }
         match event {
             Event::Call(call) => self.call(now, call, out),
-            Event::Gone(call) => self.ingress(now, ingress::Event::Gone(call), out),
+            Event::Gone(call) => self.ingress(now, ingress::Event::CallerGone(call), out),
             Event::Frame(peer, frame) => self.frame(now, peer, frame, out),
             Event::Unsent(request) => {
-                self.ingress(now, ingress::Event::Unsent(request), out);
+                self.ingress(now, ingress::Event::AttemptUnsent(request), out);
             }
             Event::Broken(peer) => {
-                self.ingress(now, ingress::Event::Broken(peer.clone()), out);
+                self.ingress(now, ingress::Event::LinkLost(peer.clone()), out);
                 match self.listed.is_some() {
                     true => self.listed_broken(now, &peer),
                     false => self.fleet_broken(now, &peer, out),
@@ -565,7 +565,7 @@
                 self.inbound(now, event, out);
             }
             Frame::Fate { request, fate } => {
-                self.ingress(now, ingress::Event::Fate(peer, request, fate), out);
+                self.ingress(now, ingress::Event::RevokeResult(peer, request, fate), out);
             }
             Frame::Answer {
                 request,
@@ -634,7 +634,7 @@
     }
 
     fn ingress(&mut self, now: Time, event: ingress::Event, out: &mut Vec<Action>) {
-        let mut world = ingress::World {
+        let mut world = ingress::Environment {
             snapshot: &self.snapshot,
             members: &self.members,
             quota: &mut self.quota,
@@ -671,7 +671,7 @@
             }
             match action {
                 inbound::Action::Orphan(orphaned) => {
-                    self.ingress(now, ingress::Event::Orphan(orphaned), out);
+                    self.ingress(now, ingress::Event::ParentEnded(orphaned), out);
                 }
                 action => out.extend(carried(action)),
             }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -47,7 +47,7 @@
     },
     metric::Counter,
     quota::Bank,
-    retry::Terms,
+    retry::Limits,
     store,
     warmup, //
 };
@@ -311,12 +311,12 @@
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
         let slack = bounds.retry_slack / nodes as f64;
-        self.router.limit_retries(Terms {
+        self.router.set_retry_limits(Limits {
             ratio: bounds.retry_ratio * RATIO_SHARE,
-            floor: slack * FLOOR_SHARE / seconds,
-            saved: slack * SAVED_SHARE,
-            ahead: bounds.retry_window.scale(AHEAD_SHARE),
-            reserve: RESERVE,
+            min_rate: slack * FLOOR_SHARE / seconds,
+            burst: slack * SAVED_SHARE,
+            burst_window: bounds.retry_window.scale(AHEAD_SHARE),
+            critical_reserve: RESERVE,
         });
     }
 
@@ -404,7 +404,7 @@
                     self.members.remove(&name);
                     out.push(Action::Note(Note::Gone(name.clone())));
                     // Nobody there will answer what is still under way.
-                    self.ingress(now, ingress::Event::Broken(name.clone()), out);
+                    self.ingress(now, ingress::Event::LinkLost(name.clone()), out);
                     self.router.forget_instance(&name);
                 }
             }
--- a/src/process/node/listed/tokens.rs
+++ b/src/process/node/listed/tokens.rs
@@ -13,12 +13,12 @@
 
 impl Core {
     pub(super) fn tokens_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waiting = self.router.charging();
+        let waiting = self.router.waiting_for_tokens();
         let Some(bank) = self.quota.bank() else {
             return;
         };
         for team in bank.tick(now, &waiting) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.ingress(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_tokens(out);
     }
@@ -42,7 +42,7 @@
             return;
         };
         if let Some(team) = bank.on(now, message) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.ingress(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_tokens(out);
     }
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -118,7 +118,7 @@
         keeper.tick(now, &self.members, wanted, successors, &mut actions);
         self.rights_do(actions, out);
         for team in self.quota.tick(now) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.ingress(now, ingress::Event::TokensChanged(team), out);
         }
         self.rights_send(now, out);
         self.records_tick(now, out);
@@ -291,7 +291,7 @@
             }
         }
         if self.quota.reply(now, &team, number, reply) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.ingress(now, ingress::Event::TokensChanged(team), out);
         }
         self.rights_send(now, out);
     }
--- a/src/request/ingress.rs
+++ b/src/request/ingress.rs
@@ -56,7 +56,7 @@
     },
     retry::{
         Budget,
-        Terms, //
+        Limits, //
     },
 };
 
@@ -109,7 +109,7 @@
     /// A new call.
     Arrival(Box<Arrival>),
     /// The caller hung up.
-    Gone(id::Call),
+    CallerGone(id::Call),
     /// The upstream's answer begins, with this status.
     Answered(id::Instance, id::Request, u16, Report),
     /// The attempt has ended after its answer.
@@ -117,16 +117,16 @@
     /// The attempt ended without an answer.
     Refused(id::Instance, id::Request, Code, Report),
     /// The attempt never left this node, and never will.
-    Unsent(id::Request),
+    AttemptUnsent(id::Request),
     /// The link to an instance broke, or could not be made.
-    Broken(id::Instance),
+    LinkLost(id::Instance),
     /// The answer to a revocation.
-    Fate(id::Instance, id::Request, Fate),
+    RevokeResult(id::Instance, id::Request, Fate),
     /// The attempt at the upstream beside this node that made nested calls is
     /// over.
-    Orphan(id::Request),
+    ParentEnded(id::Request),
     /// There is news of a team's rate tokens.
-    Quota(id::Team),
+    TokensChanged(id::Team),
     /// Time has passed.
     Tick,
 }
@@ -174,7 +174,7 @@
 }
 
 /// What the router consults.
-pub struct World<'a> {
+pub struct Environment<'a> {
     /// The configuration in force.
     pub snapshot: &'a Snapshot,
     /// The members.
@@ -236,7 +236,7 @@
     }
 
     /// Goes by other terms for retries from now on.
-    pub fn limit_retries(&mut self, terms: Terms) {
+    pub fn set_retry_limits(&mut self, terms: Limits) {
         self.budget.limit(terms);
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// How many calls of each team wait for a rate token.
-    pub fn charging(&self) -> BTreeMap<id::Team, Waiting> {
+    pub fn waiting_for_tokens(&self) -> BTreeMap<id::Team, Waiting> {
         let teams = self.charging.iter();
         teams
             .map(|(team, line)| (team.clone(), line.waiting()))
@@ -269,10 +269,16 @@
     }
 
     /// Takes one event and adds what is to be done.
-    pub fn on(&mut self, now: Time, event: Event, world: &mut World<'_>, out: &mut Vec<Action>) {
+    pub fn on(
+        &mut self,
+        now: Time,
+        event: Event,
+        world: &mut Environment<'_>,
+        out: &mut Vec<Action>,
+    ) {
         match event {
             Event::Arrival(arrival) => self.arrival(now, *arrival, world, out),
-            Event::Gone(call) => self.gone(now, call, world, out),
+            Event::CallerGone(call) => self.gone(now, call, world, out),
             Event::Answered(peer, request, status, report) => {
                 self.answered(now, &peer, request, status, report, world, out);
             }
@@ -282,13 +288,13 @@
             Event::Refused(peer, request, code, report) => {
                 self.refused(now, &peer, request, code, report, world, out);
             }
-            Event::Unsent(request) => self.unsent(now, request, world, out),
-            Event::Broken(peer) => self.broken(now, &peer, world, out),
-            Event::Fate(peer, request, fate) => {
+            Event::AttemptUnsent(request) => self.unsent(now, request, world, out),
+            Event::LinkLost(peer) => self.broken(now, &peer, world, out),
+            Event::RevokeResult(peer, request, fate) => {
                 self.fate(now, &peer, request, fate, world, out);
             }
-            Event::Orphan(request) => self.orphan(now, request, world, out),
-            Event::Quota(team) => self.charge_team(now, &team, world, out),
+            Event::ParentEnded(request) => self.orphan(now, request, world, out),
+            Event::TokensChanged(team) => self.charge_team(now, &team, world, out),
             Event::Tick => self.tick(now, world, out),
         }
     }
@@ -302,7 +308,7 @@
         }
     }
 
-    fn tick(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Time, world: &mut Environment<'_>, out: &mut Vec<Action>) {
         if now.since(self.looked) >= silence::LOOK {
             self.looked = now;
             self.listen(now, world, out);
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    Action, Arrival, Origin, Router, World,
+    Action, Arrival, Environment, Origin, Router,
     call::{
         Call,
         Line,
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         arrival: Arrival,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let number = arrival.call;
@@ -60,7 +60,12 @@
         }
     }
 
-    fn admit(&mut self, now: Time, arrival: Arrival, world: &mut World<'_>) -> Result<(), Code> {
+    fn admit(
+        &mut self,
+        now: Time,
+        arrival: Arrival,
+        world: &mut Environment<'_>,
+    ) -> Result<(), Code> {
         let tables = &world.snapshot.tables;
         if tables.routes.is_empty() {
             return Err(Code::ConfigAbsent);
@@ -138,7 +143,7 @@
         call: id::Call,
         key: Option<&str>,
         route: &Route,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Result<Context, Code> {
         world.counts.add(Counter::Calls);
         let key = key.ok_or(Code::KeyMissing)?;
@@ -165,7 +170,7 @@
         now: Time,
         arrival: &Arrival,
         route: &Route,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> (Option<id::Request>, Context) {
         world.counts.add(Counter::Nested);
         let context = Context {
@@ -193,7 +198,7 @@
         (Some(request), context)
     }
 
-    fn context(&self, call: id::Call, route: &Route, world: &World<'_>) -> Context {
+    fn context(&self, call: id::Call, route: &Route, world: &Environment<'_>) -> Context {
         let unique = [self.incarnation.0.to_le_bytes(), call.0.to_le_bytes()].concat();
         Context {
             root: id::Root(xxh3_64(&unique)),
@@ -216,7 +221,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -274,7 +279,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         if let Some(call) = self.calls.get_mut(&number) {
@@ -291,7 +296,7 @@
         &mut self,
         now: Time,
         team: &id::Team,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         while let Some(line) = self.charging.get(team)
@@ -311,7 +316,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get(&number) else {
@@ -326,7 +331,13 @@
         }
     }
 
-    fn first(&mut self, now: Time, number: id::Call, world: &mut World<'_>, out: &mut Vec<Action>) {
+    fn first(
+        &mut self,
+        now: Time,
+        number: id::Call,
+        world: &mut Environment<'_>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(call) = self.calls.get(&number) else {
             return;
         };
@@ -353,7 +364,11 @@
     most.map_or(policy.token_wait, |most| most.min(policy.token_wait))
 }
 
-fn nested(parent: Option<&Context>, route: &Route, world: &mut World<'_>) -> Result<Context, Code> {
+fn nested(
+    parent: Option<&Context>,
+    route: &Route,
+    world: &mut Environment<'_>,
+) -> Result<Context, Code> {
     world.counts.add(Counter::Nested);
     let Some(parent) = parent else {
         world.counts.add(Counter::Unattributed);
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts: sending them, and judging how they end.
 
 use super::{
-    Action, Router, World,
+    Action, Environment, Router,
     call::{
         Attempt,
         Call,
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -159,7 +159,7 @@
         request: id::Request,
         status: u16,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         self.hints.note(now, peer, report.life, report.hint, true);
@@ -210,7 +210,7 @@
         peer: &id::Instance,
         request: id::Request,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.heard(now, peer, request, &report, world) else {
@@ -243,7 +243,7 @@
         request: id::Request,
         code: Code,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.heard(now, peer, request, &report, world) else {
@@ -275,7 +275,7 @@
         &mut self,
         now: Time,
         request: id::Request,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.attempts.get(&request).map(|attempt| attempt.call) else {
@@ -292,7 +292,7 @@
         &mut self,
         now: Time,
         peer: &id::Instance,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let lost: Vec<_> = self
@@ -311,7 +311,7 @@
         now: Time,
         request: id::Request,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get(&number) else {
@@ -382,7 +382,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(State::Revoking { request, until, .. }) = self.calls.get(&number).map(|c| c.state)
@@ -404,7 +404,7 @@
         peer: &id::Instance,
         request: id::Request,
         fate: Fate,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let number = match self.attempts.get(&request) {
@@ -436,7 +436,7 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let delivering = |call: &Call| matches!(call.state, State::Delivering(_));
@@ -458,7 +458,7 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Option<Reason> {
         let call = self.calls.get_mut(&number)?;
         let reason = failure.reason(call.repeatable)?;
@@ -513,7 +513,7 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&number) else {
             return false;
@@ -548,7 +548,7 @@
         number: id::Call,
         failure: Failure,
         reason: Reason,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Action,
+    Environment,
     Router,
-    World,
     call::State, //
 };
 use crate::{
@@ -31,7 +31,7 @@
         now: Time,
         number: id::Call,
         code: Code,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -55,7 +55,13 @@
     }
 
     /// When the caller had best come back.
-    fn wait(&self, now: Time, number: id::Call, code: Code, world: &mut World<'_>) -> Option<Span> {
+    fn wait(
+        &self,
+        now: Time,
+        number: id::Call,
+        code: Code,
+        world: &mut Environment<'_>,
+    ) -> Option<Span> {
         let call = self.calls.get(&number)?;
         let usual = self.typical.get(&call.route).copied().unwrap_or(0.0);
         let refusal = comeback::Refusal {
@@ -74,7 +80,7 @@
 
     /// The attempt that made this call must not be tried again for its failure:
     /// this hop has judged it.
-    pub(super) fn last_word(&mut self, now: Time, number: id::Call, world: &mut World<'_>) {
+    pub(super) fn last_word(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
         let Some(call) = self.calls.get_mut(&number) else {
             return;
         };
@@ -93,7 +99,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let code = match self.withdraw(now, number, world.policy, out) {
@@ -108,7 +114,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let sent = self.withdraw(now, number, world.policy, out);
@@ -130,7 +136,7 @@
         &mut self,
         now: Time,
         parent: id::Request,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         if !world.policy.cancel {
@@ -175,7 +181,7 @@
         peer: &id::Instance,
         request: id::Request,
         report: &Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Option<id::Call> {
         self.hints.note(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
@@ -208,14 +214,14 @@
         request: id::Request,
         spent: u8,
         mark: Observation,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) {
         self.repay(request, spent, world);
         self.abandon(now, request, mark);
     }
 
     /// Returns what an attempt has not spent of its loan, once.
-    pub(super) fn repay(&mut self, request: id::Request, spent: u8, world: &mut World<'_>) {
+    pub(super) fn repay(&mut self, request: id::Request, spent: u8, world: &mut Environment<'_>) {
         let Some(attempt) = self.attempts.get_mut(&request) else {
             return;
         };
@@ -239,7 +245,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, now: Time, number: id::Call, world: &mut World<'_>) {
+    pub(super) fn forget(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
         self.charged(number);
         let Some(call) = self.calls.remove(&number) else {
             return;
--- a/src/request/ingress/silence.rs
+++ b/src/request/ingress/silence.rs
@@ -8,8 +8,8 @@
 
 use super::{
     Action,
+    Environment,
     Router,
-    World,
     call::State, //
 };
 use crate::{
@@ -29,7 +29,7 @@
 
 impl Router {
     /// Sends elsewhere what waits at suspected instances and may run twice.
-    pub(super) fn listen(&mut self, now: Time, world: &mut World<'_>, out: &mut Vec<Action>) {
+    pub(super) fn listen(&mut self, now: Time, world: &mut Environment<'_>, out: &mut Vec<Action>) {
         let silent = |peer: &id::Instance| {
             let status = world.members.get(peer).map(|peer| peer.status);
             matches!(status, Some(Status::Suspect | Status::Dead))
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -93,27 +93,27 @@
 
 /// What a pool's retries may amount to at one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Limits {
     /// The share of first tries.
     pub ratio: f64,
     /// Retries a second that are always allowed.
-    pub floor: f64,
+    pub min_rate: f64,
     /// Retries that may be saved up.
-    pub saved: f64,
+    pub burst: f64,
     /// For so much of the present first tries their share may be saved beside.
-    pub ahead: Span,
+    pub burst_window: Span,
     /// The part of what may be saved that only the most important requests use.
-    pub reserve: f64,
+    pub critical_reserve: f64,
 }
 
-impl Default for Terms {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             ratio: RATIO,
-            floor: FLOOR,
-            saved: SAVED,
-            ahead: Span::ZERO,
-            reserve: 0.0,
+            min_rate: FLOOR,
+            burst: SAVED,
+            burst_window: Span::ZERO,
+            critical_reserve: 0.0,
         }
     }
 }
@@ -121,7 +121,7 @@
 /// The retries of each pool, as a share of its first tries.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    terms: Terms,
+    terms: Limits,
     pools: BTreeMap<Pool, Saved>,
 }
 
@@ -135,7 +135,7 @@
 
 impl Budget {
     /// Goes by other terms from now on.
-    pub fn limit(&mut self, terms: Terms) {
+    pub fn limit(&mut self, terms: Limits) {
         self.terms = terms;
     }
 
@@ -153,7 +153,7 @@
         let saved = self.saved(now, pool);
         let kept = match importance {
             Importance::Critical => 0.0,
-            _ => saved.most(terms) * terms.reserve,
+            _ => saved.most(terms) * terms.critical_reserve,
         };
         let some = saved.tokens >= 1.0 + kept;
         saved.tokens -= f64::from(u8::from(some));
@@ -163,13 +163,13 @@
     fn saved(&mut self, now: Time, pool: &Pool) -> &mut Saved {
         let terms = self.terms;
         let fresh = Saved {
-            tokens: terms.floor.min(terms.saved),
+            tokens: terms.min_rate.min(terms.burst),
             at: now,
             rate: 0.0,
         };
         let saved = self.pools.entry(pool.clone()).or_insert(fresh);
         let passed = now.since(saved.at);
-        let gained = passed.as_secs_f64() * terms.floor;
+        let gained = passed.as_secs_f64() * terms.min_rate;
         saved.rate *= (-passed.as_secs_f64() / LATELY.as_secs_f64()).exp();
         saved.tokens = (saved.tokens + gained).min(saved.most(terms));
         saved.at = now;
@@ -178,8 +178,8 @@
 }
 
 impl Saved {
-    fn most(&self, terms: Terms) -> f64 {
-        terms.saved + terms.ratio * self.rate * terms.ahead.as_secs_f64()
+    fn most(&self, terms: Limits) -> f64 {
+        terms.burst + terms.ratio * self.rate * terms.burst_window.as_secs_f64()
     }
 }
 
--- a/tests/policy/orders.rs
+++ b/tests/policy/orders.rs
@@ -232,7 +232,7 @@
 
     fn route(&mut self, fixed: &Fixed, event: ingress::Event) {
         let mut proxy = Proxy::new(id::Incarnation(1), "front".parse().expect("a name"), true);
-        let mut world = ingress::World {
+        let mut world = ingress::Environment {
             snapshot: &fixed.snapshot,
             members: &fixed.members,
             quota: &mut holder(&fixed.snapshot),
@@ -333,7 +333,7 @@
                     self.wires.push(Wire::ToRouter(event));
                 }
                 inbound::Action::Fate(_, request, fate) => {
-                    let event = ingress::Event::Fate(from.clone(), request, fate);
+                    let event = ingress::Event::RevokeResult(from.clone(), request, fate);
                     self.wires.push(Wire::ToRouter(event));
                 }
                 inbound::Action::Orphan(_)
@@ -368,7 +368,7 @@
 
     fn cut(&mut self, number: usize) {
         let old = self.links[number];
-        let broken = ingress::Event::Broken(instance(number));
+        let broken = ingress::Event::LinkLost(instance(number));
         self.wires.push(Wire::ToRouter(broken));
         let lost = inbound::Event::Broken("a".parse().expect("a name"));
         self.wires.push(Wire::ToProxy(old, lost));
@@ -472,7 +472,7 @@
             Step::HangUp => {
                 self.budget.hangups -= 1;
                 self.told = true;
-                self.route(fixed, ingress::Event::Gone(CALL));
+                self.route(fixed, ingress::Event::CallerGone(CALL));
             }
             Step::Drain(number) => {
                 self.budget.drains -= 1;
--- a/tests/policy/rejection.rs
+++ b/tests/policy/rejection.rs
@@ -13,10 +13,10 @@
     ingress::{
         Action,
         Arrival,
+        Environment,
         Event,
         Origin,
-        Router,
-        World, //
+        Router, //
     },
     member::{
         Peer,
@@ -27,7 +27,7 @@
     outcome::Report,
     policy::Policy,
     quota::Holder,
-    retry::Terms,
+    retry::Limits,
     tables::Tables,
     team::Teams, //
 };
@@ -65,10 +65,10 @@
             members.insert(peer(name, "p"));
         }
         let mut router = Router::new(&peer("a", "front"));
-        router.limit_retries(Terms {
-            floor: 100.0,
-            saved: 100.0,
-            ..Terms::default()
+        router.set_retry_limits(Limits {
+            min_rate: 100.0,
+            burst: 100.0,
+            ..Limits::default()
         });
         Self {
             now: Time::from_ms(1000),
@@ -96,7 +96,7 @@
     /// Takes an event and waits until a backoff is over.
     fn on(&mut self, event: Event) -> Vec<Action> {
         let mut proxy = Proxy::new(id::Incarnation(1), "front".parse().expect("a name"), true);
-        let mut world = World {
+        let mut world = Environment {
             snapshot: &self.snapshot,
             members: &self.members,
             quota: &mut Holder::new("a".parse().expect("a name"), id::Incarnation(1)),
