--- a/src/command/policy.rs
+++ b/src/command/policy.rs
@@ -15,9 +15,9 @@
     clock::Span,
     policy::{
         Admission,
-        Choice,
         Policy,
-        Retries, //
+        RetryLimit,
+        SheddingKey, //
     },
     standin::{
         site::Site,
@@ -74,15 +74,15 @@
         (
             "2 retries a hop",
             Policy {
-                retries: Retries::Hop(2),
-                ratio: false,
+                retry_limit: RetryLimit::PerHop(2),
+                retry_budget: false,
                 ..full
             },
         ),
         (
             "random shedding",
             Policy {
-                choice: Choice::Random,
+                shedding_key: SheddingKey::Random,
                 ..full
             },
         ),
@@ -98,16 +98,19 @@
         policy
     };
     vec![
-        ("no retry ratio", without(|p| p.ratio = false)),
-        ("no early refusal", without(|p| p.early = false)),
-        ("no levels below", without(|p| p.below = false)),
-        ("no fair shares", without(|p| p.fair = false)),
+        ("no retry ratio", without(|p| p.retry_budget = false)),
+        ("no early refusal", without(|p| p.early_shedding = false)),
+        ("no levels below", without(|p| p.downstream_levels = false)),
+        ("no fair shares", without(|p| p.fair_shares = false)),
         ("no nested first", without(|p| p.nested_first = false)),
         ("no newest first", without(|p| p.newest_first = false)),
-        ("no deadline fit", without(|p| p.deadline = false)),
-        ("no cancellation", without(|p| p.cancel = false)),
-        ("no load balance", without(|p| p.load = false)),
-        ("no domain first", without(|p| p.domain = false)),
+        ("no deadline fit", without(|p| p.deadline_check = false)),
+        ("no cancellation", without(|p| p.cancellation = false)),
+        ("no load balance", without(|p| p.load_balancing = false)),
+        (
+            "no domain first",
+            without(|p| p.prefer_local_domain = false),
+        ),
         ("no ejection", without(|p| p.ejection = false)),
     ]
 }
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -212,10 +212,10 @@
                 core.begin_again();
             }
             core.set_policy(Policy {
-                reroutes: REROUTES,
-                rejections: REJECTIONS,
+                max_reroutes: REROUTES,
+                max_rejection_retries: REJECTIONS,
                 attribution: true,
-                token_wait: TOKEN_WAIT,
+                max_token_wait: TOKEN_WAIT,
                 ..Policy::default()
             });
         }
--- a/src/request/balance.rs
+++ b/src/request/balance.rs
@@ -159,7 +159,7 @@
             let mut tried_peers = tried.iter().filter_map(|name| members.get(name));
             !tried_peers.any(|other| other.domain == peer.domain)
         };
-        if !tried.is_empty() && policy.domain && untried.iter().any(in_new_domain) {
+        if !tried.is_empty() && policy.prefer_local_domain && untried.iter().any(in_new_domain) {
             untried.retain(|peer| in_new_domain(peer));
         }
         let probe = untried
@@ -371,7 +371,7 @@
             .iter()
             .copied()
             .partition(|peer| peer.domain == self.domain);
-        if local_peers.is_empty() || remote_peers.is_empty() || !policy.domain {
+        if local_peers.is_empty() || remote_peers.is_empty() || !policy.prefer_local_domain {
             return self.pick_of_two(now, peers, policy, rng);
         }
         let local = self.pick_of_two(now, &local_peers, policy, rng)?;
@@ -398,7 +398,7 @@
             return None;
         }
         let first = rng.random_range(0..peers.len());
-        if peers.len() == 1 || !policy.load {
+        if peers.len() == 1 || !policy.load_balancing {
             return Some(peers[first]);
         }
         let second = (first + rng.random_range(1..peers.len())) % peers.len();
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -511,8 +511,8 @@
         levels: &Levels,
         policy: Policy,
     ) -> u16 {
-        let own = self.controller.level(team, policy.fair);
-        match policy.below {
+        let own = self.controller.level(team, policy.fair_shares);
+        match policy.downstream_levels {
             true => own.max(levels.below(now, route, team)),
             false => own,
         }
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -194,7 +194,7 @@
             let peer = running.peer.clone();
             out.push(Action::Refuse(peer, request, Code::DeadlinePassed, report));
         }
-        if world.policy.cancel {
+        if world.policy.cancellation {
             self.abort(request, out);
         }
     }
--- a/src/request/inbound/waiting.rs
+++ b/src/request/inbound/waiting.rs
@@ -29,8 +29,8 @@
     metric::Counter,
     policy::{
         Admission,
-        Choice,
-        Policy, //
+        Policy,
+        SheddingKey, //
     },
     record::Claim,
 };
@@ -155,9 +155,9 @@
             return Ok(());
         }
         let (context, team) = (&waiting.context, &waiting.context.team);
-        let rank = match world.policy.choice {
-            Choice::Root => Rank::of(context, world.policy.nested_first),
-            Choice::Random => Rank::random(world.rng.random()),
+        let rank = match world.policy.shedding_key {
+            SheddingKey::Root => Rank::of(context, world.policy.nested_first),
+            SheddingKey::Random => Rank::random(world.rng.random()),
         };
         let level = self.level(now, &waiting.route, team, world.levels, world.policy);
         if !rank.passes(level) {
@@ -171,7 +171,7 @@
         }
         let wait = self.wait(now, ahead);
         let work = self.site.typical(now, &waiting.route);
-        if world.policy.deadline && now + wait + work > waiting.deadline {
+        if world.policy.deadline_check && now + wait + work > waiting.deadline {
             return Err(Code::DeadlineUnfit);
         }
         Ok(())
@@ -188,7 +188,7 @@
         {
             return Err(Code::KeyWithdrawn);
         }
-        let unfit = world.policy.deadline && now >= waiting.deadline;
+        let unfit = world.policy.deadline_check && now >= waiting.deadline;
         if unfit {
             return Err(Code::DeadlineUnfit);
         }
@@ -337,9 +337,9 @@
 fn order(policy: Policy) -> Order {
     let level = policy.admission == Admission::Level;
     Order {
-        importance: level && policy.choice == Choice::Root,
+        importance: level && policy.shedding_key == SheddingKey::Root,
         nested: level && policy.nested_first,
-        fair: level && policy.fair,
+        fair: level && policy.fair_shares,
         newest: level && policy.newest_first,
     }
 }
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -29,8 +29,8 @@
     metric::Counter,
     policy::{
         Admission,
-        Choice,
-        Policy, //
+        Policy,
+        SheddingKey, //
     },
     tables::Route, //
 };
@@ -341,13 +341,14 @@
         let Some(call) = self.calls.get(&number) else {
             return;
         };
-        let level = match world.policy.early && world.policy.admission == Admission::Level {
+        let level = match world.policy.early_shedding && world.policy.admission == Admission::Level
+        {
             true => world.levels.level(now, &call.route, &call.context.team),
             false => 0,
         };
-        let rank = match world.policy.choice {
-            Choice::Root => Rank::of(&call.context, world.policy.nested_first),
-            Choice::Random => Rank::random(world.rng.random()),
+        let rank = match world.policy.shedding_key {
+            SheddingKey::Root => Rank::of(&call.context, world.policy.nested_first),
+            SheddingKey::Random => Rank::random(world.rng.random()),
         };
         if !rank.passes(level) && !world.rng.random_bool(PROBES) {
             return self.fail(now, number, Code::ShedEarly, world, out);
@@ -361,7 +362,9 @@
 /// use up much of the time in which its answer is of full use.
 fn token_wait(route: &Route, policy: Policy) -> Span {
     let most = route.target.map(|target| target.scale(WAITED));
-    most.map_or(policy.token_wait, |most| most.min(policy.token_wait))
+    most.map_or(policy.max_token_wait, |most| {
+        most.min(policy.max_token_wait)
+    })
 }
 
 fn nested(
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -24,7 +24,7 @@
     id,
     metric::Counter,
     outcome::Report,
-    policy::Retries,
+    policy::RetryLimit,
     record::Name,
     retry::{
         self,
@@ -103,9 +103,9 @@
         let Some((peer, life)) = picked else {
             return self.fail(now, number, absent, world, out);
         };
-        let loan = match world.policy.retries {
-            Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
+        let loan = match world.policy.retry_limit {
+            RetryLimit::PerHop(_) => 0,
+            RetryLimit::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -478,7 +478,7 @@
         }
         // Without an instance that has not refused it yet, going on would only
         // ask again where there was no room a moment ago.
-        let onward = reason == Reason::NotRun && world.policy.reroutes > 0;
+        let onward = reason == Reason::NotRun && world.policy.max_reroutes > 0;
         if onward
             && failure != Failure::NotRun(Code::UpstreamRejected)
             && !self
@@ -491,11 +491,11 @@
         let typical = self.typical.get(&call.route).copied().unwrap_or(0.0);
         let fits = now + Span::from_ms(typical as u64) < call.deadline;
         let free = match reason {
-            Reason::Leaving => !call.rerouted || call.reroutes < world.policy.reroutes,
+            Reason::Leaving => !call.rerouted || call.reroutes < world.policy.max_reroutes,
             // No upstream has seen it: going on costs nothing but time.
             Reason::NotRun => {
                 failure != Failure::NotRun(Code::UpstreamRejected)
-                    && call.reroutes < world.policy.reroutes
+                    && call.reroutes < world.policy.max_reroutes
             }
             Reason::Unknown | Reason::Failed => false,
         };
@@ -519,8 +519,9 @@
             return false;
         };
         let rejected = failure == Failure::NotRun(Code::UpstreamRejected);
-        let again = rejected && call.rejected.len() <= usize::from(world.policy.rejections);
-        if let Retries::Hop(most) = world.policy.retries {
+        let again =
+            rejected && call.rejected.len() <= usize::from(world.policy.max_rejection_retries);
+        if let RetryLimit::PerHop(most) = world.policy.retry_limit {
             return call.retries < most;
         }
         let pool = call.pool.clone();
@@ -532,7 +533,7 @@
         if !further && !again {
             return false;
         }
-        if world.policy.ratio && !self.budget.take(now, &pool, importance) {
+        if world.policy.retry_budget && !self.budget.take(now, &pool, importance) {
             return false;
         }
         if further {
@@ -563,7 +564,7 @@
         let unseen = failure != Failure::NotRun(Code::UpstreamRejected);
         let leaving = reason == Reason::Leaving && !call.rerouted;
         let onward = reason == Reason::NotRun || reason == Reason::Leaving;
-        if leaving || (onward && unseen && call.reroutes < world.policy.reroutes) {
+        if leaving || (onward && unseen && call.reroutes < world.policy.max_reroutes) {
             call.rerouted |= reason == Reason::Leaving;
             call.reroutes += 1;
             return self.send(now, number, world, out);
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -139,7 +139,7 @@
         world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        if !world.policy.cancel {
+        if !world.policy.cancellation {
             return;
         }
         for number in self.children.remove(&parent).unwrap_or_default() {
@@ -165,7 +165,7 @@
             _ => return false,
         };
         if let Some(attempt) = self.attempts.get(&request)
-            && policy.cancel
+            && policy.cancellation
         {
             out.push(Action::Cancel(attempt.peer.clone(), request));
         }
--- a/tests/oracle.rs
+++ b/tests/oracle.rs
@@ -12,9 +12,9 @@
     context::Importance,
     lease::Setting,
     policy::{
-        Choice,
         Policy,
-        Retries, //
+        RetryLimit,
+        SheddingKey, //
     },
     quota::Mode,
     standin::{
@@ -240,8 +240,8 @@
     let script = eventful();
     let mut play = Play::prepared(&script, |core| {
         core.set_policy(Policy {
-            retries: Retries::Hop(2),
-            ratio: false,
+            retry_limit: RetryLimit::PerHop(2),
+            retry_budget: false,
             ..Policy::default()
         });
     })
@@ -270,13 +270,13 @@
 }
 
 /// The shares of critical and of low requests that were whole in a surge.
-fn surge(choice: Option<Choice>) -> (f64, f64) {
+fn surge(shedding_key: Option<SheddingKey>) -> (f64, f64) {
     let text = "site tuul\nseed 5\nload 300%\nrun 12s\nexpect broken = 0\n";
     let script = Script::parse(text).expect("a scenario");
     let play = Play::prepared(&script, move |core| {
-        if let Some(choice) = choice {
+        if let Some(shedding_key) = shedding_key {
             core.set_policy(Policy {
-                choice,
+                shedding_key,
                 ..Policy::default()
             });
         }
@@ -297,6 +297,6 @@
 fn important_requests_are_shed_last() {
     let (critical, low) = surge(None);
     assert!(critical >= 0.99 && low < 0.9, "{critical} {low}");
-    let (critical, _) = surge(Some(Choice::Random));
+    let (critical, _) = surge(Some(SheddingKey::Random));
     assert!(critical < 0.9, "chance alone kept {critical}");
 }
--- a/tests/policy/allowance.rs
+++ b/tests/policy/allowance.rs
@@ -6,7 +6,7 @@
     allowance::Allowance,
     policy::{
         Policy,
-        Retries, //
+        RetryLimit, //
     },
     standin::trial::{
         self,
@@ -39,8 +39,8 @@
 #[test]
 fn hops_that_retry_on_their_own_multiply() {
     let policy = Policy {
-        retries: Retries::Hop(2),
-        ratio: false,
+        retry_limit: RetryLimit::PerHop(2),
+        retry_budget: false,
         ..Policy::default()
     };
     assert_eq!(trial::chain(policy, 1).deepest, 27);
--- a/tests/policy/rejection.rs
+++ b/tests/policy/rejection.rs
@@ -85,8 +85,8 @@
             },
             members,
             policy: Policy {
-                reroutes: 2,
-                rejections: 4,
+                max_reroutes: 2,
+                max_rejection_retries: 4,
                 attribution: true,
                 ..Policy::default()
             },
