--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -64,7 +64,7 @@
 /// The subsystem that issued a store call and receives its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StoreCaller {
-    Fleet,
+    Gossip,
     Listed,
     Rights,
 }
@@ -86,7 +86,7 @@
     },
     /// A member joined, or its record changed.
     MemberChanged(member::Peer),
-    /// A member's record was removed from the store.
+    /// A member was removed from the membership table.
     MemberRemoved(id::Instance),
     /// The warm-up status of the local upstream changed.
     Warmup(warmup::Status),
@@ -267,7 +267,7 @@
     identity: Identity,
     snapshot: document::Shared,
     members: member::Table,
-    fleet: fleet::Fleet,
+    gossip: fleet::Gossip,
     listed: Option<listed::Listed>,
     quota: Holder,
     rights: rights::Rights,
@@ -290,7 +290,7 @@
         Self {
             snapshot: document::Shared::default(),
             members,
-            fleet: fleet::Fleet::new(
+            gossip: fleet::Gossip::new(
                 identity.peer.instance.clone(),
                 identity.seed.wrapping_add(2),
             ),
@@ -381,7 +381,7 @@
     /// Handles one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.listed.is_none() {
-            self.fleet_pass(now);
+            self.gossip_advance_clock(now);
         }
         match event {
             Event::Call(call) => self.on_call(now, call, out),
@@ -394,7 +394,7 @@
                 self.run_router(now, ingress::Event::Broken(peer.clone()), out);
                 match self.listed.is_some() {
                     true => self.listed_broken(now, &peer),
-                    false => self.fleet_broken(now, &peer, out),
+                    false => self.gossip_link_lost(now, &peer, out),
                 }
             }
             Event::OutboundLinkOpened(peer) => self.listed_linked(&peer),
@@ -426,7 +426,7 @@
             }
             Event::Datagram(from, message) => self.on_message(now, Some(from), message, out),
             Event::StoreAnswer(number, answer) => match self.pending_store_calls.remove(&number) {
-                Some(StoreCaller::Fleet) => self.fleet_store(now, number, answer, out),
+                Some(StoreCaller::Gossip) => self.gossip_store_answer(now, number, answer, out),
                 Some(StoreCaller::Listed) => self.listed_store(now, number, answer, out),
                 Some(StoreCaller::Rights) => self.rights_store(now, number, answer, out),
                 None => {}
@@ -438,7 +438,7 @@
                 if self.listed.is_some() {
                     return self.listed_drain(now);
                 }
-                self.fleet_drain(now, out);
+                self.gossip_drain(now, out);
                 self.rights_drain(now, out);
             }
             Event::Tick => self.on_tick(now, out),
@@ -460,7 +460,7 @@
     fn announce_readiness(&mut self, now: Time, ready: bool) {
         match self.listed.is_some() {
             true => self.listed_ready(now, ready),
-            false => self.fleet_ready(now, ready),
+            false => self.gossip_set_ready(now, ready),
         }
     }
 
@@ -475,10 +475,10 @@
             }
             return;
         }
-        self.fleet_tick(now, out);
+        self.gossip_tick(now, out);
         self.rights_tick(now, out);
         let released = idle && self.rights_over(now);
-        if self.draining.is_some() && released && self.fleet_left(now, out) {
+        if self.draining.is_some() && released && self.gossip_finish_leaving(now, out) {
             out.push(Action::Stop);
         }
     }
@@ -504,7 +504,7 @@
         let leaving_refusal = self.leaving_refusal(now, &call.origin);
         let refusal = match self.listed.is_some() {
             true => self.listed_refusal(),
-            false => self.fleet_refusal(now, &call.origin),
+            false => self.gossip_refusal(now, &call.origin),
         };
         if let Some(code) = leaving_refusal.or(refusal) {
             self.counts.add(Counter::Refused(code));
--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership and configuration: what all nodes come to agree on.
+//! Membership and configuration by gossip, on which all nodes converge.
 
 mod view;
 
@@ -55,50 +55,54 @@
     store, //
 };
 
-/// Time between two rounds of what need not run on every tick.
-const PERIOD: Span = Span::from_ms(50);
-/// Time between two choices of watchers and seeds.
-const CHOOSE: Span = Span::from_ms(500);
-/// Members of each domain that the store names.
-const SEEDS: usize = 3;
-/// How long a judgement on freshness is used again.
-const JUDGE: Span = Span::from_ms(100);
-/// How long a leaving node stays, at least, so that its word gets round.
-const LINGER: Span = Span::from_ms(1500);
-/// Purpose of the choice of watchers and seeds.
+/// Interval between runs of the gossip tick, which need not run on every node
+/// tick.
+const TICK_INTERVAL: Span = Span::from_ms(50);
+/// Interval at which watchers and seeds are selected again.
+const SELECTION_INTERVAL: Span = Span::from_ms(500);
+/// Number of members of each domain whose addresses are kept in the store as
+/// seeds.
+const SEEDS_PER_DOMAIN: usize = 3;
+/// How long a computed freshness standing is reused.
+const STANDING_CACHE_TTL: Span = Span::from_ms(100);
+/// Minimum time that a leaving node keeps running, so that its announcement
+/// spreads.
+const MIN_LEAVING_TIME: Span = Span::from_ms(1500);
+/// Rendezvous-hash seed for the selection of watchers and seeds.
 pub(crate) const WATCHER_AND_SEED_SALT: u64 = 0x5ee4;
 
-/// What a call to the store was for.
+/// The component that a store call was made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Watch,
     Seed,
 }
 
-/// This node's part in membership and configuration.
+/// State of the membership protocol and of configuration distribution.
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct Gossip {
     agent: Agent,
     adopter: Adopter,
     watch: Watch,
     roster: Roster,
     seeder: Seeder,
     freshness: Freshness,
-    asked: BTreeMap<u64, Purpose>,
-    /// Watchers of the own domain, best first.
+    pending_calls: BTreeMap<u64, Purpose>,
+    /// Watchers of this node's domain, highest rank first.
     watchers: Vec<Instance>,
-    seed: bool,
-    next: Time,
-    next_choice: Time,
-    judged: Option<(Time, Standing)>,
-    leaving: Option<Time>,
-    gone: bool,
-    calls: u64,
-    /// Its own chance, so that it does not change that of requests.
+    is_seed: bool,
+    next_tick: Time,
+    next_selection: Time,
+    cached_standing: Option<(Time, Standing)>,
+    leaving_since: Option<Time>,
+    has_left: bool,
+    store_calls: u64,
+    /// A separate random number generator, so that gossip does not affect the
+    /// random choices made for requests.
     rng: ChaCha8Rng,
 }
 
-impl Fleet {
+impl Gossip {
     pub(super) fn new(me: Instance, seed: u64) -> Self {
         Self {
             agent: Agent::new(me),
@@ -107,214 +111,219 @@
             roster: Roster::default(),
             seeder: Seeder::default(),
             freshness: Freshness::default(),
-            asked: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             watchers: Vec::new(),
-            seed: false,
-            next: Time::ZERO,
-            next_choice: Time::ZERO,
-            judged: None,
-            leaving: None,
-            gone: false,
-            calls: 0,
+            is_seed: false,
+            next_tick: Time::ZERO,
+            next_selection: Time::ZERO,
+            cached_standing: None,
+            leaving_since: None,
+            has_left: false,
+            store_calls: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 }
 
 impl Core {
-    pub(super) fn fleet_pass(&mut self, now: Time) {
-        if self.fleet.agent.pass(now, &mut self.members) {
-            self.fleet.freshness.woke(now);
-            self.fleet.judged = None;
+    pub(super) fn gossip_advance_clock(&mut self, now: Time) {
+        if self.gossip.agent.pass(now, &mut self.members) {
+            self.gossip.freshness.woke(now);
+            self.gossip.cached_standing = None;
         }
     }
 
-    pub(super) fn fleet_ready(&mut self, now: Time, ready: bool) {
+    pub(super) fn gossip_set_ready(&mut self, now: Time, ready: bool) {
         self.identity.peer.ready = ready;
-        self.fleet_announce(now);
+        self.gossip_announce(now);
     }
 
-    fn fleet_announce(&mut self, now: Time) {
+    fn gossip_announce(&mut self, now: Time) {
         let peer = &self.identity.peer;
-        self.fleet.agent.announce(now, peer, &mut self.members);
+        self.gossip.agent.announce(now, peer, &mut self.members);
     }
 
-    pub(super) fn fleet_broken(&mut self, now: Time, peer: &Instance, out: &mut Vec<Action>) {
+    pub(super) fn gossip_link_lost(&mut self, now: Time, peer: &Instance, out: &mut Vec<Action>) {
         let mut sends = Vec::new();
-        self.fleet
+        self.gossip
             .agent
             .broken(now, peer, &mut self.members, &mut sends);
-        self.post(now, sends, out);
+        self.send_gossip(now, sends, out);
     }
 
-    /// Why no call can be taken now, if so.
-    pub(super) fn fleet_refusal(&mut self, now: Time, origin: &Origin) -> Option<Code> {
+    /// Returns the code with which calls must be refused now, if any.
+    pub(super) fn gossip_refusal(&mut self, now: Time, origin: &Origin) -> Option<Code> {
         if self.snapshot.version == Version(0) {
             return Some(Code::ConfigAbsent);
         }
-        let keyed = matches!(origin, Origin::Caller(_));
-        // A configuration that was put in force by hand has no confirmations.
-        if !keyed || self.fleet.adopter.document().is_none() {
+        let has_key = matches!(origin, Origin::Caller(_));
+        // A configuration set directly with `Core::adopt` is never confirmed by
+        // the store, so its freshness is not checked.
+        if !has_key || self.gossip.adopter.document().is_none() {
             return None;
         }
-        let kept = self.fleet.judged.filter(|(at, _)| now.since(*at) < JUDGE);
-        let (at, standing) = kept.unwrap_or_else(|| (now, self.standing(now)));
-        self.fleet.judged = Some((at, standing));
+        let cached = self
+            .gossip
+            .cached_standing
+            .filter(|(at, _)| now.since(*at) < STANDING_CACHE_TTL);
+        let (at, standing) = cached.unwrap_or_else(|| (now, self.standing(now)));
+        self.gossip.cached_standing = Some((at, standing));
         (standing == Standing::Isolated).then_some(Code::ConfigStale)
     }
 
-    pub(super) fn fleet_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        if now < self.fleet.next || self.fleet.gone {
+    pub(super) fn gossip_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        if now < self.gossip.next_tick || self.gossip.has_left {
             return;
         }
-        self.fleet.next = now + PERIOD;
+        self.gossip.next_tick = now + TICK_INTERVAL;
         let mut sends = Vec::new();
-        self.fleet
+        self.gossip
             .agent
-            .tick(now, &mut self.members, &mut self.fleet.rng, &mut sends);
-        self.post(now, sends, out);
-        if now >= self.fleet.next_choice {
-            self.fleet.next_choice = now + CHOOSE;
-            self.choose();
+            .tick(now, &mut self.members, &mut self.gossip.rng, &mut sends);
+        self.send_gossip(now, sends, out);
+        if now >= self.gossip.next_selection {
+            self.gossip.next_selection = now + SELECTION_INTERVAL;
+            self.select_watchers_and_seeds();
         }
-        self.fleet_ask(now, out);
-        self.confirm(now, out);
-        let other = self.other();
-        if let Some(from) = self.fleet.adopter.tick(now, other) {
-            self.pull(now, from, out);
+        self.gossip_call_store(now, out);
+        self.send_confirmations(now, out);
+        let other = self.random_live_peer();
+        if let Some(from) = self.gossip.adopter.tick(now, other) {
+            self.request_document(now, from, out);
         }
     }
 
-    /// Chooses watchers and seeds among those who are there.
-    fn choose(&mut self) {
+    /// Selects watchers and seeds among the live members of this node's domain.
+    fn select_watchers_and_seeds(&mut self) {
         let me = &self.identity.peer;
-        let there = |peer: &&member::Peer| peer.status == Status::Alive;
-        let home = self.members.domain(&me.domain).filter(there);
-        let best = member::ranked(home, WATCHER_AND_SEED_SALT, SEEDS);
-        self.fleet.seed = best.iter().any(|peer| peer.instance == me.instance);
-        self.fleet.watchers = best
+        let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
+        let local = self.members.domain(&me.domain).filter(is_alive);
+        let best = member::ranked(local, WATCHER_AND_SEED_SALT, SEEDS_PER_DOMAIN);
+        self.gossip.is_seed = best.iter().any(|peer| peer.instance == me.instance);
+        self.gossip.watchers = best
             .into_iter()
             .take(WATCHERS)
             .map(|peer| peer.instance.clone())
             .collect();
     }
 
-    fn watchers(&self, domain: &Domain) -> Vec<Instance> {
-        let there = |peer: &&member::Peer| peer.status == Status::Alive;
-        let members = self.members.domain(domain).filter(there);
+    fn domain_watchers(&self, domain: &Domain) -> Vec<Instance> {
+        let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
+        let members = self.members.domain(domain).filter(is_alive);
         let best = member::ranked(members, WATCHER_AND_SEED_SALT, WATCHERS);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
-    /// Any other member that answers, to pull from.
-    fn other(&mut self) -> Option<Instance> {
+    /// Picks a random other live member to request the configuration from.
+    fn random_live_peer(&mut self) -> Option<Instance> {
         let me = &self.identity.peer.instance;
-        let others = self.members.iter();
-        let others = others.filter(|p| p.status == Status::Alive && p.instance != *me);
+        let members = self.members.iter();
+        let others = members.filter(|p| p.status == Status::Alive && p.instance != *me);
         others
-            .choose(&mut self.fleet.rng)
+            .choose(&mut self.gossip.rng)
             .map(|peer| peer.instance.clone())
     }
 
-    fn fleet_ask(&mut self, now: Time, out: &mut Vec<Action>) {
-        let fleet = &mut self.fleet;
+    fn gossip_call_store(&mut self, now: Time, out: &mut Vec<Action>) {
+        let gossip = &mut self.gossip;
         let me = self.identity.peer.instance.clone();
         let role = Role {
-            seed: fleet.seed && fleet.leaving.is_none(),
-            reader: fleet.watchers.first() == Some(&me),
+            seed: gossip.is_seed && gossip.leaving_since.is_none(),
+            reader: gossip.watchers.first() == Some(&me),
             alone: self.members.len() < 2,
         };
-        if let Some(call) = fleet
+        if let Some(call) = gossip
             .seeder
-            .tick(now, role, &self.identity.peer, &mut fleet.rng)
+            .tick(now, role, &self.identity.peer, &mut gossip.rng)
         {
-            let number = self.call_store(StoreCaller::Fleet, call, out);
-            self.fleet.calls += 1;
-            self.fleet.asked.insert(number, Purpose::Seed);
+            let number = self.call_store(StoreCaller::Gossip, call, out);
+            self.gossip.store_calls += 1;
+            self.gossip.pending_calls.insert(number, Purpose::Seed);
         }
-        // A node that has just begun knows nobody, so it would take itself for
-        // a watcher: a whole fleet that restarts would fall on the store.
-        let fleet = &mut self.fleet;
-        let joined = fleet.agent.has_joined(now, &self.members);
-        if joined
-            && fleet.watchers.contains(&me)
-            && let Some(call) = fleet.watch.tick(now, &mut fleet.rng)
+        // A node that has just started knows no other member and would select
+        // itself as a watcher. When a whole fleet restarts, all of its nodes
+        // would then query the store at once.
+        let gossip = &mut self.gossip;
+        let has_joined = gossip.agent.has_joined(now, &self.members);
+        if has_joined
+            && gossip.watchers.contains(&me)
+            && let Some(call) = gossip.watch.tick(now, &mut gossip.rng)
         {
-            let number = self.call_store(StoreCaller::Fleet, call, out);
-            self.fleet.calls += 1;
-            self.fleet.asked.insert(number, Purpose::Watch);
+            let number = self.call_store(StoreCaller::Gossip, call, out);
+            self.gossip.store_calls += 1;
+            self.gossip.pending_calls.insert(number, Purpose::Watch);
         }
     }
 
-    pub(super) fn fleet_drain(&mut self, now: Time, _out: &mut Vec<Action>) {
-        if self.fleet.leaving.is_none() {
-            self.fleet.leaving = Some(now);
+    pub(super) fn gossip_drain(&mut self, now: Time, _out: &mut Vec<Action>) {
+        if self.gossip.leaving_since.is_none() {
+            self.gossip.leaving_since = Some(now);
             self.identity.peer.status = Status::Leaving;
-            self.fleet_announce(now);
+            self.gossip_announce(now);
         }
     }
 
-    /// Whether this node may go. The last thing it says is that it is gone, so
-    /// that nobody waits for it or suspects it.
-    pub(super) fn fleet_left(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
-        let Some(since) = self.fleet.leaving else {
+    /// Returns whether this node may stop. Before it does, it announces that it
+    /// has left, so that no member waits for it or suspects it.
+    pub(super) fn gossip_finish_leaving(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
+        let Some(since) = self.gossip.leaving_since else {
             return true;
         };
-        if now.since(since) < LINGER || self.fleet.gone {
-            return self.fleet.gone;
+        if now.since(since) < MIN_LEAVING_TIME || self.gossip.has_left {
+            return self.gossip.has_left;
         }
-        self.fleet.gone = true;
+        self.gossip.has_left = true;
         let mut sends = Vec::new();
-        self.fleet
+        self.gossip
             .agent
-            .farewell(now, &mut self.members, &mut self.fleet.rng, &mut sends);
-        self.post(now, sends, out);
+            .farewell(now, &mut self.members, &mut self.gossip.rng, &mut sends);
+        self.send_gossip(now, sends, out);
         true
     }
 
-    pub(super) fn fleet_store(
+    pub(super) fn gossip_store_answer(
         &mut self,
         now: Time,
         number: u64,
         answer: store::Answer,
         out: &mut Vec<Action>,
     ) {
-        match self.fleet.asked.remove(&number) {
+        match self.gossip.pending_calls.remove(&number) {
             Some(Purpose::Seed) => {
-                let peers = self.fleet.seeder.answer(now, answer, &mut self.fleet.rng);
+                let peers = self.gossip.seeder.answer(now, answer, &mut self.gossip.rng);
                 let addresses = peers.into_iter().map(|peer| peer.datagram);
-                self.fleet.agent.seed(addresses);
+                self.gossip.agent.seed(addresses);
             }
             Some(Purpose::Watch) => {
-                let outcome = self.fleet.watch.answer(now, answer, &mut self.fleet.rng);
-                self.watched(now, outcome, out);
+                let outcome = self.gossip.watch.answer(now, answer, &mut self.gossip.rng);
+                self.on_watch_outcome(now, outcome, out);
             }
             None => {}
         }
     }
 
-    fn watched(&mut self, now: Time, outcome: Outcome, out: &mut Vec<Action>) {
+    fn on_watch_outcome(&mut self, now: Time, outcome: Outcome, out: &mut Vec<Action>) {
         match outcome {
             Outcome::Nothing => {}
-            Outcome::Confirmed(at) => self.fleet.freshness.confirm(at),
+            Outcome::Confirmed(at) => self.gossip.freshness.confirm(at),
             Outcome::News(document, at) => {
-                // An older document is no confirmation of a newer one.
-                if document.version >= self.fleet.adopter.version() {
-                    self.fleet.freshness.confirm(at);
+                // An older document does not confirm a newer one.
+                if document.version >= self.gossip.adopter.version() {
+                    self.gossip.freshness.confirm(at);
                 }
                 self.offer_document(now, *document, out);
             }
-            Outcome::Broken(reason) => self.fleet.adopter.refuse(reason, &mut self.counts),
+            Outcome::Broken(reason) => self.gossip.adopter.refuse(reason, &mut self.counts),
         }
     }
 
-    /// Puts a document in force if it is newer and can be read.
+    /// Makes a document take effect if it is newer and valid.
     pub fn offer_document(&mut self, now: Time, document: Document, out: &mut Vec<Action>) {
-        let snapshot = self.fleet.adopter.offer(document, &mut self.counts);
-        self.adopted(now, snapshot, out);
+        let snapshot = self.gossip.adopter.offer(document, &mut self.counts);
+        self.adopt_snapshot(now, snapshot, out);
     }
 
-    fn adopted(
+    fn adopt_snapshot(
         &mut self,
         now: Time,
         snapshot: Option<crate::document::Shared>,
@@ -324,30 +333,30 @@
             return;
         };
         self.adopt(snapshot);
-        self.fleet.agent.wake(self.members.len());
-        self.fleet.roster.adopted(now);
-        self.confirm(now, out);
+        self.gossip.agent.wake(self.members.len());
+        self.gossip.roster.adopted(now);
+        self.send_confirmations(now, out);
     }
 
-    fn confirm(&mut self, now: Time, out: &mut Vec<Action>) {
-        let version = self.fleet.adopter.version();
-        if version == Version(0) || !self.fleet.roster.due(now, &self.fleet.watchers) {
+    fn send_confirmations(&mut self, now: Time, out: &mut Vec<Action>) {
+        let version = self.gossip.adopter.version();
+        if version == Version(0) || !self.gossip.roster.due(now, &self.gossip.watchers) {
             return;
         }
         let from = self.identity.peer.instance.clone();
-        for watcher in self.fleet.watchers.clone() {
+        for watcher in self.gossip.watchers.clone() {
             let from = from.clone();
             let message = adoption::Message::Confirm { from, version };
-            self.pass(now, watcher, message, out);
+            self.send_adoption_message(now, watcher, message, out);
         }
     }
 
-    fn pull(&mut self, now: Time, from: Instance, out: &mut Vec<Action>) {
+    fn request_document(&mut self, now: Time, from: Instance, out: &mut Vec<Action>) {
         let message = adoption::Message::Pull {
             from: self.identity.peer.instance.clone(),
-            have: self.fleet.adopter.have(),
+            have: self.gossip.adopter.have(),
         };
-        self.pass(now, from, message, out);
+        self.send_adoption_message(now, from, message, out);
     }
 
     pub(super) fn on_member_message(
@@ -359,28 +368,28 @@
     ) {
         let news = message.news.clone();
         let mut sends = Vec::new();
-        let answered = self.fleet.agent.hear(
+        let answered = self.gossip.agent.hear(
             now,
             from,
             message,
             &mut self.members,
-            &mut self.fleet.rng,
+            &mut self.gossip.rng,
             &mut sends,
         );
-        self.post(now, sends, out);
+        self.send_gossip(now, sends, out);
         let Some(peer) = self.members.at(from) else {
             return;
         };
         let (instance, domain) = (peer.instance.clone(), peer.domain.clone());
-        let version = self.fleet.adopter.version();
-        self.fleet.freshness.hear(now, &domain, &news, version);
+        let version = self.gossip.adopter.version();
+        self.gossip.freshness.hear(now, &domain, &news, version);
         if answered {
-            self.fleet.freshness.proved();
-            self.fleet.judged = None;
+            self.gossip.freshness.proved();
+            self.gossip.cached_standing = None;
         }
-        let pull = self.fleet.adopter.hear(now, &instance, news.version);
-        if let Some(from) = pull {
-            self.pull(now, from, out);
+        let newer_at = self.gossip.adopter.hear(now, &instance, news.version);
+        if let Some(from) = newer_at {
+            self.request_document(now, from, out);
         }
     }
 
@@ -392,48 +401,56 @@
     ) {
         match message {
             adoption::Message::Pull { from, have } => {
-                if let Some(answer) = self.fleet.adopter.answer(have) {
-                    self.pass(now, from, answer, out);
+                if let Some(answer) = self.gossip.adopter.answer(have) {
+                    self.send_adoption_message(now, from, answer, out);
                 }
             }
             adoption::Message::Deltas(deltas) => {
-                let snapshot = self.fleet.adopter.apply(deltas, &mut self.counts);
-                self.adopted(now, snapshot, out);
+                let snapshot = self.gossip.adopter.apply(deltas, &mut self.counts);
+                self.adopt_snapshot(now, snapshot, out);
             }
             adoption::Message::Snapshot(document) => self.offer_document(now, *document, out),
             adoption::Message::Confirm { from, version } => {
-                self.fleet.roster.confirm(from, version);
+                self.gossip.roster.confirm(from, version);
             }
             adoption::Message::Survey { from } => {
-                let version = self.fleet.adopter.version();
-                let age = self.fleet.freshness.age(now);
+                let version = self.gossip.adopter.version();
+                let age = self.gossip.freshness.age(now);
                 let domain = &self.identity.peer.domain;
                 let report = self
-                    .fleet
+                    .gossip
                     .roster
                     .report(domain, version, age, &self.members);
-                self.pass(now, from, adoption::Message::Report(report), out);
+                self.send_adoption_message(now, from, adoption::Message::Report(report), out);
             }
-            adoption::Message::Report(report) => self.fleet.roster.reported(report),
+            adoption::Message::Report(report) => self.gossip.roster.reported(report),
         }
     }
 
-    /// Sends to a member, or hands a message to this node itself.
-    fn pass(&mut self, now: Time, to: Instance, message: adoption::Message, out: &mut Vec<Action>) {
+    /// Sends a message to a member, or handles it directly if it is addressed to
+    /// this node.
+    fn send_adoption_message(
+        &mut self,
+        now: Time,
+        to: Instance,
+        message: adoption::Message,
+        out: &mut Vec<Action>,
+    ) {
         match to == self.identity.peer.instance {
             true => self.on_adoption_message(now, message, out),
             false => self.send_message(&to, Message::Adoption(message), out),
         }
     }
 
-    /// Adds the news to messages of the membership protocol.
-    fn post(&mut self, now: Time, sends: Vec<member::Send>, out: &mut Vec<Action>) {
-        let version = self.fleet.adopter.version();
+    /// Sends messages of the membership protocol, with the configuration version
+    /// and its age attached.
+    fn send_gossip(&mut self, now: Time, sends: Vec<member::Send>, out: &mut Vec<Action>) {
+        let version = self.gossip.adopter.version();
         for send in sends {
-            let domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
+            let with_domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
             let message = member::Message {
                 kind: send.kind,
-                news: self.fleet.freshness.news(now, version, domains),
+                news: self.gossip.freshness.news(now, version, with_domains),
                 updates: send.updates,
             };
             out.push(Action::Datagram(send.to, Message::Member(message)));
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What operators and measurements see of membership and configuration.
+//! Accessors for operators and measurements: membership and configuration.
 
 use std::{
     net::SocketAddr,
@@ -25,81 +25,86 @@
 };
 
 impl Core {
-    /// What this node says of itself.
+    /// Returns this node's own member record.
     pub fn identity(&self) -> &member::Peer {
         &self.identity.peer
     }
 
-    /// Adds addresses of other nodes, from the settings.
+    /// Adds the addresses of seed nodes from the settings.
     pub fn seed(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        self.fleet.agent.seed(addresses);
+        self.gossip.agent.seed(addresses);
     }
 
-    /// Whether this node knows others, or has tried for long enough. Before
-    /// that it should claim nothing in the store: it takes itself for alone.
+    /// Returns whether this node knows other members or has searched for them
+    /// long enough. Until then it must not claim anything in the store, because
+    /// it would act as the only member.
     pub fn has_joined(&self, now: Time) -> bool {
-        self.fleet.agent.has_joined(now, &self.members)
+        self.gossip.agent.has_joined(now, &self.members)
     }
 
-    /// Calls to the store for membership and configuration, in this life.
+    /// Returns the number of store calls made for membership and configuration
+    /// since the node started.
     pub fn membership_store_calls(&self) -> u64 {
-        self.fleet.calls
+        self.gossip.store_calls
     }
 
-    /// The document in force, if this node has one.
+    /// Returns the document in effect, if any.
     pub fn document(&self) -> Option<&Rc<Document>> {
-        self.fleet.adopter.document()
+        self.gossip.adopter.document()
     }
 
-    /// The newest document that could not be put in force, and why.
+    /// Returns the newest document that was rejected, and the reason.
     pub fn config_fault(&self) -> Option<&adoption::Fault> {
-        self.fleet.adopter.fault()
+        self.gossip.adopter.fault()
     }
 
-    /// Time since the store confirmed the version in force, as far as is known.
+    /// Returns the time since the last known confirmation by the store that the
+    /// version in effect is current.
     pub fn config_age(&self, now: Time) -> Option<Span> {
-        self.fleet.freshness.age(now)
+        self.gossip.freshness.age(now)
     }
 
-    /// Whether keys can be checked, from the age of the version in force.
+    /// Returns whether API keys can be checked, given the age of the version in
+    /// effect.
     pub fn standing(&self, now: Time) -> Standing {
         let domain = &self.identity.peer.domain;
-        self.fleet.freshness.standing(now, domain, &self.members)
+        self.gossip.freshness.standing(now, domain, &self.members)
     }
 
-    /// Asks one watcher of each domain how far the domain has come. The
-    /// reports arrive in [`Core::reports`].
+    /// Asks one watcher of each domain which version the members of the domain
+    /// run. The replies are collected in [`Core::reports`].
     pub fn survey(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.fleet.roster.survey();
+        self.gossip.roster.survey();
         let domains: Vec<Domain> = self.members.domains().cloned().collect();
         for domain in domains {
-            let Some(watcher) = self.watchers(&domain).into_iter().next() else {
+            let Some(watcher) = self.domain_watchers(&domain).into_iter().next() else {
                 continue;
             };
             let from = self.identity.peer.instance.clone();
-            self.pass(now, watcher, adoption::Message::Survey { from }, out);
+            self.send_adoption_message(now, watcher, adoption::Message::Survey { from }, out);
         }
     }
 
-    /// The reports that came since the survey began, by domain.
+    /// Returns the reports received since the survey started, by domain.
     pub fn reports(&self) -> impl Iterator<Item = &adoption::Report> {
-        self.fleet.roster.reports()
+        self.gossip.roster.reports()
     }
 
-    /// Failure domains of which a member is there.
+    /// Returns the number of failure domains with at least one live member.
     pub fn live_domain_count(&self) -> usize {
-        self.inhabited().count()
+        self.live_domains().count()
     }
 
-    /// Domains of which no report has come since the survey began.
+    /// Returns the live domains that have not reported since the survey started.
     pub fn unreported_domains(&self) -> impl Iterator<Item = &Domain> {
-        let come = |domain: &Domain| self.reports().any(|report| report.domain == *domain);
-        self.inhabited().filter(move |domain| !come(domain))
+        let has_reported = |domain: &Domain| self.reports().any(|report| report.domain == *domain);
+        self.live_domains()
+            .filter(move |domain| !has_reported(domain))
     }
 
-    fn inhabited(&self) -> impl Iterator<Item = &Domain> {
-        let there = |peer: &member::Peer| peer.status == Status::Alive;
+    fn live_domains(&self) -> impl Iterator<Item = &Domain> {
+        let is_alive = |peer: &member::Peer| peer.status == Status::Alive;
         let domains = self.members.domains();
-        domains.filter(move |domain| self.members.domain(domain).any(there))
+        domains.filter(move |domain| self.members.domain(domain).any(is_alive))
     }
 }
