--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -321,7 +321,7 @@
     /// Makes a configuration take effect.
     pub fn adopt(&mut self, snapshot: document::Shared) {
         self.members
-            .evacuate(snapshot.evacuated().cloned().collect());
+            .set_evacuated_domains(snapshot.evacuated().cloned().collect());
         self.snapshot = snapshot;
     }
 
--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -47,8 +47,8 @@
         self,
         Agent,
         Kind,
-        Role,
-        Seeder,
+        SeedClient,
+        SeedRole,
         Status, //
     },
     message::Message,
@@ -85,7 +85,7 @@
     adopter: Adopter,
     watch: Watch,
     roster: Roster,
-    seeder: Seeder,
+    seeder: SeedClient,
     freshness: Freshness,
     pending_calls: BTreeMap<u64, Purpose>,
     /// Watchers of this node's domain, highest rank first.
@@ -109,7 +109,7 @@
             adopter: Adopter::default(),
             watch: Watch::default(),
             roster: Roster::default(),
-            seeder: Seeder::default(),
+            seeder: SeedClient::default(),
             freshness: Freshness::default(),
             pending_calls: BTreeMap::new(),
             watchers: Vec::new(),
@@ -127,7 +127,7 @@
 
 impl Core {
     pub(super) fn gossip_advance_clock(&mut self, now: Time) {
-        if self.gossip.agent.pass(now, &mut self.members) {
+        if self.gossip.agent.observe_time(now, &mut self.members) {
             self.gossip.freshness.woke(now);
             self.gossip.cached_standing = None;
         }
@@ -147,7 +147,7 @@
         let mut sends = Vec::new();
         self.gossip
             .agent
-            .broken(now, peer, &mut self.members, &mut sends);
+            .link_broken(now, peer, &mut self.members, &mut sends);
         self.send_gossip(now, sends, out);
     }
 
@@ -197,8 +197,8 @@
     fn select_watchers_and_seeds(&mut self) {
         let me = &self.identity.peer;
         let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
-        let local = self.members.domain(&me.domain).filter(is_alive);
-        let best = member::ranked(local, WATCHER_AND_SEED_SALT, SEEDS_PER_DOMAIN);
+        let local = self.members.in_domain(&me.domain).filter(is_alive);
+        let best = member::rank_by_rendezvous(local, WATCHER_AND_SEED_SALT, SEEDS_PER_DOMAIN);
         self.gossip.is_seed = best.iter().any(|peer| peer.instance == me.instance);
         self.gossip.watchers = best
             .into_iter()
@@ -209,8 +209,8 @@
 
     fn domain_watchers(&self, domain: &Domain) -> Vec<Instance> {
         let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
-        let members = self.members.domain(domain).filter(is_alive);
-        let best = member::ranked(members, WATCHER_AND_SEED_SALT, WATCHERS);
+        let members = self.members.in_domain(domain).filter(is_alive);
+        let best = member::rank_by_rendezvous(members, WATCHER_AND_SEED_SALT, WATCHERS);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
@@ -227,10 +227,10 @@
     fn gossip_call_store(&mut self, now: Time, out: &mut Vec<Action>) {
         let gossip = &mut self.gossip;
         let me = self.identity.peer.instance.clone();
-        let role = Role {
-            seed: gossip.is_seed && gossip.leaving_since.is_none(),
-            reader: gossip.watchers.first() == Some(&me),
-            alone: self.members.len() < 2,
+        let role = SeedRole {
+            is_seed: gossip.is_seed && gossip.leaving_since.is_none(),
+            is_reader: gossip.watchers.first() == Some(&me),
+            is_alone: self.members.len() < 2,
         };
         if let Some(call) = gossip
             .seeder
@@ -274,9 +274,12 @@
         }
         self.gossip.has_left = true;
         let mut sends = Vec::new();
-        self.gossip
-            .agent
-            .farewell(now, &mut self.members, &mut self.gossip.rng, &mut sends);
+        self.gossip.agent.announce_departure(
+            now,
+            &mut self.members,
+            &mut self.gossip.rng,
+            &mut sends,
+        );
         self.send_gossip(now, sends, out);
         true
     }
@@ -290,9 +293,12 @@
     ) {
         match self.gossip.pending_calls.remove(&number) {
             Some(Purpose::Seed) => {
-                let peers = self.gossip.seeder.answer(now, answer, &mut self.gossip.rng);
+                let peers = self
+                    .gossip
+                    .seeder
+                    .handle_answer(now, answer, &mut self.gossip.rng);
                 let addresses = peers.into_iter().map(|peer| peer.datagram);
-                self.gossip.agent.seed(addresses);
+                self.gossip.agent.add_seeds(addresses);
             }
             Some(Purpose::Watch) => {
                 let outcome = self.gossip.watch.answer(now, answer, &mut self.gossip.rng);
@@ -333,7 +339,7 @@
             return;
         };
         self.adopt(snapshot);
-        self.gossip.agent.wake(self.members.len());
+        self.gossip.agent.schedule_gossip(self.members.len());
         self.gossip.roster.adopted(now);
         self.send_confirmations(now, out);
     }
@@ -368,7 +374,7 @@
     ) {
         let news = message.news.clone();
         let mut sends = Vec::new();
-        let answered = self.gossip.agent.hear(
+        let answered = self.gossip.agent.handle_message(
             now,
             from,
             message,
@@ -377,7 +383,7 @@
             &mut sends,
         );
         self.send_gossip(now, sends, out);
-        let Some(peer) = self.members.at(from) else {
+        let Some(peer) = self.members.by_datagram_address(from) else {
             return;
         };
         let (instance, domain) = (peer.instance.clone(), peer.domain.clone());
@@ -444,7 +450,7 @@
 
     /// Sends messages of the membership protocol, with the configuration version
     /// and its age attached.
-    fn send_gossip(&mut self, now: Time, sends: Vec<member::Send>, out: &mut Vec<Action>) {
+    fn send_gossip(&mut self, now: Time, sends: Vec<member::Outgoing>, out: &mut Vec<Action>) {
         let version = self.gossip.adopter.version();
         for send in sends {
             let with_domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -32,7 +32,7 @@
 
     /// Adds the addresses of seed nodes from the settings.
     pub fn seed(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        self.gossip.agent.seed(addresses);
+        self.gossip.agent.add_seeds(addresses);
     }
 
     /// Returns whether this node knows other members or has searched for them
@@ -105,6 +105,6 @@
     fn live_domains(&self) -> impl Iterator<Item = &Domain> {
         let is_alive = |peer: &member::Peer| peer.status == Status::Alive;
         let domains = self.members.domains();
-        domains.filter(move |domain| self.members.domain(domain).any(is_alive))
+        domains.filter(move |domain| self.members.in_domain(domain).any(is_alive))
     }
 }
