--- a/src/command/quota/run.rs
+++ b/src/command/quota/run.rs
@@ -210,11 +210,11 @@
         seconds: &mut std::collections::BTreeSet<u64>,
     ) -> (u64, u64) {
         let cap = u64::from(team.burst) * 1000;
-        let mut ideal = Bucket::holding(cap, Time::ZERO);
+        let mut ideal = Bucket::with_millis(cap, Time::ZERO);
         let (mut within, mut admitted) = (0u64, 0);
         let items = self.driver.ledger.items.iter();
         for item in items.filter(|item| item.flow == number) {
-            ideal.fill(item.begun, team.rate, cap);
+            ideal.refill(item.begun, team.rate, cap);
             let fits = ideal.take(1);
             if item.begun < self.begun {
                 continue;
--- a/src/process/quota/bank.rs
+++ b/src/process/quota/bank.rs
@@ -56,7 +56,7 @@
 };
 use super::{
     Charge,
-    bucket::MILLI, //
+    bucket::MILLIS_PER_TOKEN, //
 };
 use crate::{
     clock::{
@@ -166,7 +166,7 @@
                     place,
                     later: servers[place + 1..].to_vec(),
                     rate: *rate,
-                    burst: u64::from(*burst) * MILLI,
+                    burst: u64::from(*burst) * MILLIS_PER_TOKEN,
                 };
                 shares.insert(team.clone(), share);
             }
--- a/src/process/quota/bank/account.rs
+++ b/src/process/quota/bank/account.rs
@@ -14,7 +14,7 @@
         Instance,
         Team, //
     },
-    quota::bucket::MILLI,
+    quota::bucket::MILLIS_PER_TOKEN,
 };
 
 /// How long tokens may be used that calls wait for, and that are borrowed ahead.
@@ -319,10 +319,10 @@
         let over = |loan: &mut Loan| loan.tokens == 0 || now + RETURN_BEFORE_END >= loan.end;
         for loan in self.loans.extract_if(.., over) {
             if loan.tokens > 0 && now < loan.end {
-                back.push((loan.server, u64::from(loan.tokens) * MILLI));
+                back.push((loan.server, u64::from(loan.tokens) * MILLIS_PER_TOKEN));
             }
         }
-        let rest = u64::from(std::mem::take(&mut self.returned)) * MILLI;
+        let rest = u64::from(std::mem::take(&mut self.returned)) * MILLIS_PER_TOKEN;
         let rest = match self.asked {
             Some(_) => rest,
             None => rest + std::mem::take(&mut self.fraction),
--- a/src/process/quota/bank/mint.rs
+++ b/src/process/quota/bank/mint.rs
@@ -25,7 +25,7 @@
     },
     quota::bucket::{
         Bucket,
-        MILLI, //
+        MILLIS_PER_TOKEN, //
     },
     unit::Rate,
 };
@@ -253,7 +253,7 @@
         for step in steps.into_iter().chain([now]) {
             let room = self.room(step);
             let rate = self.rate(step);
-            self.bucket.fill(step, rate, room);
+            self.bucket.refill(step, rate, room);
         }
         self.filled = now;
     }
@@ -267,7 +267,7 @@
     fn rate(&self, now: Time) -> Rate {
         self.share
             .rate
-            .scaled(MILLI * self.parts(now) / SERVERS as u64)
+            .scaled(MILLIS_PER_TOKEN * self.parts(now) / SERVERS as u64)
     }
 
     fn cap(&self, now: Time) -> u64 {
@@ -286,7 +286,7 @@
     fn put(&mut self, now: Time, millis: u64) -> u64 {
         let before = self.bucket.millis();
         let room = self.room(now);
-        self.bucket.raise((before + millis).min(room));
+        self.bucket.raise_to_millis((before + millis).min(room));
         self.bucket.millis() - before
     }
 
@@ -297,29 +297,32 @@
         let reserve = self.reserve(now, wish.importance);
         let free = self.bucket.millis().saturating_sub(reserve);
         let offered = free + wish.brings;
-        let tokens = (offered / MILLI).min(u64::from(wish.want));
+        let tokens = (offered / MILLIS_PER_TOKEN).min(u64::from(wish.want));
         let passes_on = tokens == 0 && !wish.last && self.parts(now) < SERVERS as u64;
         let lent = match passes_on {
             true => free,
-            false => (tokens * MILLI).saturating_sub(wish.brings),
+            false => (tokens * MILLIS_PER_TOKEN).saturating_sub(wish.brings),
         };
-        self.bucket.drain(lent);
+        self.bucket.remove_millis(lent);
         self.answered.push_back(Answered {
             at: now,
             importance: wish.importance,
             wanted: wish.want,
             // What was brought is counted anew, as its loan begins now.
-            millis: lent.max(tokens * MILLI),
+            millis: lent.max(tokens * MILLIS_PER_TOKEN),
             life: wish.life.min(DEMAND_MEMORY),
         });
-        let rest = wish.brings + lent - tokens * MILLI;
+        let rest = wish.brings + lent - tokens * MILLIS_PER_TOKEN;
         Lent {
             tokens: tokens as u32,
             fraction: match passes_on {
                 true => rest,
                 false => rest - self.put(now, rest),
             },
-            wait: self.wait(now, reserve + MILLI + self.contended(now, wish.importance)),
+            wait: self.wait(
+                now,
+                reserve + MILLIS_PER_TOKEN + self.contended(now, wish.importance),
+            ),
             serving: true,
         }
     }
@@ -328,8 +331,9 @@
     fn contended(&self, now: Time, importance: Importance) -> u64 {
         let recent = self.answered.iter().rev();
         let recent = recent.take_while(|wish| now.since(wish.at) <= CONTENTION_WINDOW);
-        let refused = |wish: &&Answered| wish.millis < MILLI && wish.importance >= importance;
-        recent.filter(refused).count() as u64 * MILLI
+        let refused =
+            |wish: &&Answered| wish.millis < MILLIS_PER_TOKEN && wish.importance >= importance;
+        recent.filter(refused).count() as u64 * MILLIS_PER_TOKEN
     }
 
     /// Gives its part to an earlier server; for how long, and what is in it. While
@@ -375,7 +379,7 @@
     fn reserve(&self, now: Time, importance: Importance) -> u64 {
         let above = self.answered.iter().filter(|a| a.importance > importance);
         let wanted: u64 = above.map(|answered| u64::from(answered.wanted)).sum();
-        (wanted * MILLI).min(self.cap(now) / MAX_RESERVE_DIVISOR)
+        (wanted * MILLIS_PER_TOKEN).min(self.cap(now) / MAX_RESERVE_DIVISOR)
     }
 
     fn forget(&mut self, now: Time) {
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -12,7 +12,7 @@
     Reply,
     Return,
     bank::Waiting,
-    bucket::MILLI, //
+    bucket::MILLIS_PER_TOKEN, //
 };
 use crate::{
     clock::{
@@ -181,7 +181,7 @@
                 .rate
                 .percent(u64::from(percent))
                 .split(u64::from(nodes));
-            let burst = u64::from(team.burst) * MILLI * u64::from(percent) / 100;
+            let burst = u64::from(team.burst) * MILLIS_PER_TOKEN * u64::from(percent) / 100;
             let fresh = Share {
                 rate,
                 burst: burst / u64::from(nodes.max(1)),
@@ -396,7 +396,7 @@
 
     fn take_share(&mut self, now: Time, team: &Team) -> Option<Charge> {
         let share = self.shares.get_mut(team)?;
-        share.bucket.fill(now, share.rate, share.burst);
+        share.bucket.refill(now, share.rate, share.burst);
         if share.bucket.take(1) {
             return Some(Charge::Taken(Grant(0)));
         }
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -11,7 +11,7 @@
     MIN_GRANT_LIFE,
     Reply,
     Return,
-    bucket::MILLI, //
+    bucket::MILLIS_PER_TOKEN, //
 };
 use crate::{
     clock::{
@@ -191,13 +191,13 @@
     fn credit(&mut self, millis: u64) {
         if !std::mem::replace(&mut self.inherited, true) {
             let rest = millis.saturating_sub(self.granted);
-            self.bucket.raise(rest);
+            self.bucket.raise_to_millis(rest);
         }
     }
 
     fn cap(&self) -> u64 {
         let out: u64 = self.outstanding.values().map(|o| u64::from(o.left())).sum();
-        u64::from(self.burst).saturating_sub(out) * MILLI
+        u64::from(self.burst).saturating_sub(out) * MILLIS_PER_TOKEN
     }
 
     /// Brings the bucket up to `now`, through each end of a grant in its order.
@@ -210,7 +210,7 @@
     fn advance(&mut self, now: Time, team: &Team) {
         self.advance_to(now);
         (self.rate, self.burst) = (team.rate, team.burst);
-        self.bucket.fill(now, self.rate, self.cap());
+        self.bucket.refill(now, self.rate, self.cap());
         self.latest
             .retain(|_, latest| now.since(latest.at) < FORGET);
     }
@@ -226,10 +226,10 @@
             let Some((batch, end)) = ended else {
                 break;
             };
-            self.bucket.fill(end, self.rate, self.cap());
+            self.bucket.refill(end, self.rate, self.cap());
             self.outstanding.remove(&batch);
         }
-        self.bucket.fill(now, self.rate, self.cap());
+        self.bucket.refill(now, self.rate, self.cap());
     }
 
     fn give_back(&mut self, now: Time, returns: &[Return]) {
@@ -240,11 +240,11 @@
             let news = returned.unused.saturating_sub(outstanding.unused);
             let news = news.min(outstanding.left());
             outstanding.unused += news;
-            self.bucket.put(u64::from(news));
+            self.bucket.add(u64::from(news));
             let news = returned.begun.saturating_sub(outstanding.begun);
             outstanding.begun += news.min(outstanding.left());
         }
-        self.bucket.fill(now, self.rate, self.cap());
+        self.bucket.refill(now, self.rate, self.cap());
     }
 
     fn answer(&mut self, now: Time, right: Ownership, ask: &Ask) -> Reply {
@@ -263,7 +263,7 @@
             return Reply::OverRate(self.wait());
         }
         self.bucket.take(share);
-        self.granted += share * MILLI;
+        self.granted += share * MILLIS_PER_TOKEN;
         self.next += 1;
         let batch = Batch {
             epoch: self.epoch,
@@ -330,7 +330,7 @@
     }
 
     fn wait(&self) -> Span {
-        let missing = MILLI - self.bucket.millis() % MILLI;
+        let missing = MILLIS_PER_TOKEN - self.bucket.millis() % MILLIS_PER_TOKEN;
         let wait = Span::from_ms(missing * 1000 / self.rate.as_millis().max(1));
         wait.clamp(WAIT_SHORTEST, WAIT_LONGEST)
     }
--- a/src/standin/rates.rs
+++ b/src/standin/rates.rs
@@ -191,7 +191,7 @@
             }
             chosen
         });
-        let full = |team: &Team| Bucket::holding(u64::from(team.burst) * 1000, BEGIN);
+        let full = |team: &Team| Bucket::with_millis(u64::from(team.burst) * 1000, BEGIN);
         let mut fleet = Self {
             now: BEGIN,
             clients: clients.collect(),
@@ -433,7 +433,7 @@
         served.asked += 1;
         served.critical.0 += u32::from(critical);
         let limits = &self.teams[team];
-        self.ideal[team].fill(self.now, limits.rate, u64::from(limits.burst) * 1000);
+        self.ideal[team].refill(self.now, limits.rate, u64::from(limits.burst) * 1000);
         served.ideal += u32::from(self.ideal[team].take(1));
     }
 
--- a/tests/policy/comeback.rs
+++ b/tests/policy/comeback.rs
@@ -128,7 +128,7 @@
                 again: false,
             });
         }
-        bucket.fill(now, Rate::per_second(100), 20_000);
+        bucket.refill(now, Rate::per_second(100), 20_000);
         let due: Vec<_> = tries.extract_if(.., |one| one.at <= now).collect();
         for one in due {
             if bucket.take(1) {
