--- a/src/command/quota.rs
+++ b/src/command/quota.rs
@@ -61,7 +61,11 @@
         vec![
             way("grants+successor", Mode::Grants, true),
             way("grants", Mode::Grants, false),
-            way("standing share", Mode::Standing(20, nodes), false),
+            way(
+                "standing share",
+                Mode::GrantsAndFixedShares(20, nodes),
+                false,
+            ),
             way("central counter", Mode::Central, true),
             way("equal slices", Mode::Slices(nodes), false),
         ]
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -166,7 +166,7 @@
     /// Finds members and configuration in the store, from the beginning of the
     /// node on, and shares rates without owners.
     pub fn list(&mut self, source: Source, bounds: Bounds) {
-        self.quota.lend(Bank::new(self.identity.peer.clone()));
+        self.quota.use_bank(Bank::new(self.identity.peer.clone()));
         self.proxy.bound_cold(bounds.cold);
         self.listed = Some(Listed {
             bounds,
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -92,9 +92,9 @@
     /// Shares rates in another way, and goes by other times of leases, from the
     /// beginning of the node on.
     pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
-        self.quota.switch(mode);
+        self.quota.set_mode(mode);
         self.rights.keeper.configure(setting);
-        if let Mode::Standing(percent, _) = mode {
+        if let Mode::GrantsAndFixedShares(percent, _) = mode {
             self.rights.owner.reserve(percent);
         }
     }
@@ -110,7 +110,7 @@
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
             self.rights.directory.plan(plan.records());
             self.rights.plan = plan;
-            self.quota.adopt(now, &self.snapshot.teams.teams);
+            self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
         let mut actions = Vec::new();
         let Rights { keeper, plan, .. } = &mut self.rights;
@@ -290,7 +290,7 @@
                 self.rights.keeper.set_owner_hint(seat, from);
             }
         }
-        if self.quota.reply(now, &team, number, reply) {
+        if self.quota.on_reply(now, &team, number, reply) {
             self.ingress(now, ingress::Event::Quota(team), out);
         }
         self.rights_send(now, out);
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -70,7 +70,7 @@
     /// Every one of so many nodes has an equal part, and there is no owner.
     Slices(u32),
     /// As [`Mode::Grants`], and a share in percent stands at so many nodes.
-    Standing(u32, u32),
+    GrantsAndFixedShares(u32, u32),
 }
 
 #[derive(Clone, Debug)]
@@ -155,7 +155,7 @@
     }
 
     /// Borrows tokens from servers that the listed nodes choose, from now on.
-    pub fn lend(&mut self, bank: Bank) {
+    pub fn use_bank(&mut self, bank: Bank) {
         self.bank = Some(bank);
     }
 
@@ -165,16 +165,16 @@
     }
 
     /// Shares rates in another way, from the beginning of the node on.
-    pub fn switch(&mut self, mode: Mode) {
+    pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
     }
 
     /// Learns the teams' rates, of which only standing shares make use.
-    pub fn adopt(&mut self, now: Time, teams: &[team::Team]) {
+    pub fn set_teams(&mut self, now: Time, teams: &[team::Team]) {
         let (percent, nodes) = match self.mode {
             Mode::Grants | Mode::Central => return,
             Mode::Slices(nodes) => (100, nodes),
-            Mode::Standing(percent, nodes) => (percent, nodes),
+            Mode::GrantsAndFixedShares(percent, nodes) => (percent, nodes),
         };
         for team in teams {
             let rate = team
@@ -194,7 +194,7 @@
     /// Takes a token for one root request of the team, beside which these others
     /// wait for one. It pays for a request that begins within
     /// [`Holder::left`].
-    pub fn take_beside(
+    pub fn take_with_waiting(
         &mut self,
         now: Time,
         team: &Team,
@@ -247,14 +247,14 @@
 
     /// Whether a team that gets no token is over its rate; else no owner of its
     /// rate can be reached.
-    pub fn is_over(&self, now: Time, team: &Team) -> bool {
+    pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
         self.bank
             .as_ref()
             .is_some_and(|bank| bank.is_over(now, team))
     }
 
     /// The time until a team has a token again, as far as it is known.
-    pub fn wait(&self, now: Time, team: &Team) -> Span {
+    pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
         let bank = self.bank.as_ref();
         bank.map_or(Span::ZERO, |bank| bank.wait(now, team))
     }
@@ -263,7 +263,7 @@
     ///
     /// Its owner may then fill the token's place in the burst again. Until it
     /// hears of it, or the grant ends, the token counts as outstanding.
-    pub fn begun(&mut self, team: &Team, grant: Grant) {
+    pub fn mark_begun(&mut self, team: &Team, grant: Grant) {
         if let Some(held) = self.find(team, grant)
             && held.taken > 0
         {
@@ -273,7 +273,7 @@
     }
 
     /// Time left in which the request that took this token may begin.
-    pub fn left(&self, now: Time, team: &Team, grant: Grant) -> Option<Span> {
+    pub fn time_left(&self, now: Time, team: &Team, grant: Grant) -> Option<Span> {
         if self.bank.is_some() {
             return Some(LASTING);
         }
@@ -286,7 +286,7 @@
     }
 
     /// Notes how another node's clock stands.
-    pub fn heard(&mut self, now: Time, peer: &Instance, life: Incarnation, clock: u64) {
+    pub fn record_peer_clock(&mut self, now: Time, peer: &Instance, life: Incarnation, clock: u64) {
         let heard = Heard {
             life,
             clock,
@@ -298,7 +298,13 @@
     /// Until when a root may begin at another node, when its token has this time
     /// left. A report was under way before it came, so that clock has moved on at
     /// least as far as this one since, and the time told is never too late.
-    pub fn begin(&self, now: Time, peer: &Instance, life: Incarnation, left: Span) -> Begin {
+    pub fn begin_deadline(
+        &self,
+        now: Time,
+        peer: &Instance,
+        life: Incarnation,
+        left: Span,
+    ) -> Begin {
         match self.clocks.get(peer).filter(|heard| heard.life == life) {
             Some(heard) => {
                 let passed = now.since(heard.at).as_ms();
@@ -311,7 +317,7 @@
 
     /// Takes the quota owner's answer, and says whether those who wait should
     /// try again.
-    pub fn reply(&mut self, now: Time, team: &Team, number: u64, reply: Reply) -> bool {
+    pub fn on_reply(&mut self, now: Time, team: &Team, number: u64, reply: Reply) -> bool {
         let grant = Grant(self.next_grant + 1);
         let Some(account) = self.accounts.get_mut(team) else {
             return false;
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -234,7 +234,11 @@
             let Some(call) = self.calls.get_mut(&number) else {
                 return;
             };
-            match charged(world.quota.take_beside(now, &team, importance, others)) {
+            match charged(
+                world
+                    .quota
+                    .take_with_waiting(now, &team, importance, others),
+            ) {
                 Ok(Some(grant)) => call.grant = Some(grant),
                 Ok(None) if now < until => {
                     let line = self.charging.entry(team).or_default();
@@ -242,7 +246,7 @@
                     return self.wake(number, until);
                 }
                 Ok(None) => {
-                    let code = match world.quota.is_over(now, &call.context.team) {
+                    let code = match world.quota.is_over_rate(now, &call.context.team) {
                         true => Code::RateExceeded,
                         false => Code::RateUnavailable,
                     };
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -58,7 +58,7 @@
         }
         // Once an attempt may have begun, the token is spent and binds no more.
         let paid = call.grant.filter(|_| call.tainted.is_none());
-        let left = paid.map(|grant| world.quota.left(now, &call.context.team, grant));
+        let left = paid.map(|grant| world.quota.time_left(now, &call.context.team, grant));
         if left == Some(None) {
             return self.recharge(now, number, world, out);
         }
@@ -130,7 +130,7 @@
                 allowance: loan,
                 begin: left
                     .flatten()
-                    .map(|left| world.quota.begin(now, &peer, life, left)),
+                    .map(|left| world.quota.begin_deadline(now, &peer, life, left)),
                 ..call.context.clone()
             },
             claim: call.claim.clone(),
@@ -176,7 +176,7 @@
             return;
         }
         if let Some(grant) = call.grant.take() {
-            world.quota.begun(&call.context.team, grant);
+            world.quota.mark_begun(&call.context.team, grant);
         }
         self.repay(request, report.spent, world);
         if retry::failed(status) {
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -65,7 +65,7 @@
             target: call.target,
             usual: Span::from_ms(usual as u64),
             soonest: match code {
-                Code::RateExceeded => world.quota.wait(now, &call.context.team),
+                Code::RateExceeded => world.quota.time_until_token(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
@@ -179,7 +179,9 @@
     ) -> Option<id::Call> {
         self.hints.note(now, peer, report.life, report.hint, false);
         self.balancer.told(now, peer, report);
-        world.quota.heard(now, peer, report.life, report.clock);
+        world
+            .quota
+            .record_peer_clock(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
             world.counts.add(Counter::Late);
--- a/tests/policy/orders.rs
+++ b/tests/policy/orders.rs
@@ -166,8 +166,8 @@
 /// The whole rate lies at this node, so that nothing is asked of anybody.
 fn holder(snapshot: &Snapshot) -> Holder {
     let mut holder = Holder::new("a".parse().expect("a name"), id::Incarnation(1));
-    holder.switch(Mode::Slices(1));
-    holder.adopt(Time::ZERO, &snapshot.teams.teams);
+    holder.set_mode(Mode::Slices(1));
+    holder.set_teams(Time::ZERO, &snapshot.teams.teams);
     holder
 }
 
--- a/tests/rights/window.rs
+++ b/tests/rights/window.rs
@@ -158,10 +158,10 @@
     fn resolve(&mut self, taken: &Taken, run: bool) {
         let team = &self.team.name;
         let holder = &mut self.holders[taken.holder];
-        match (run, holder.left(self.now, team, taken.grant)) {
+        match (run, holder.time_left(self.now, team, taken.grant)) {
             (true, Some(_)) => {
                 self.begun.push(self.now);
-                holder.begun(team, taken.grant);
+                holder.mark_begun(team, taken.grant);
             }
             (false, _) => holder.give_back(self.now, team, taken.grant),
             (true, None) => {}
@@ -211,7 +211,7 @@
                     ..
                 },
             ) => {
-                self.holders[holder].reply(now, &team, number, reply);
+                self.holders[holder].on_reply(now, &team, number, reply);
             }
             _ => {}
         }
