--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -95,7 +95,7 @@
         self.quota.set_mode(mode);
         self.rights.keeper.configure(setting);
         if let Mode::GrantsAndFixedShares(percent, _) = mode {
-            self.rights.owner.reserve(percent);
+            self.rights.owner.withhold_percent(percent);
         }
     }
 
@@ -164,7 +164,7 @@
         let owner = &mut self.rights.owner;
         let accounts = self.rights.accounts.get_or_insert_with(|| {
             owner.advance(now);
-            owner.accounts()
+            owner.settled_buckets()
         });
         let accounts = accounts.clone();
         let successor = self.rights.keeper.successor().cloned();
@@ -236,10 +236,10 @@
                 number,
                 reply,
             } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
+            quota::Message::Buckets(accounts) => self.rights.owner.inherit_buckets(accounts),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
-                    self.rights.owner.returned(now, row, &returns);
+                    self.rights.owner.on_return(now, row, &returns);
                 }
             }
         }
@@ -253,7 +253,7 @@
         let row = self.snapshot.teams.team(&ask.team);
         match (right, row) {
             (Some(right), Some(row)) if rights.leaving.is_none() => {
-                rights.owner.ask(now, right, row, ask)
+                rights.owner.on_ask(now, right, row, ask)
             }
             _ => {
                 rights.keeper.note_unreachable_owner(now, &seat);
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -79,12 +79,12 @@
 impl Owner {
     /// Keeps back a share of every rate and burst, in percent, for the shares
     /// that stand at the holders.
-    pub fn reserve(&mut self, percent: u32) {
+    pub fn withhold_percent(&mut self, percent: u32) {
         self.percent = Some(percent);
     }
 
     /// Answers a holder's wish under a right that holds now.
-    pub fn ask(&mut self, now: Time, right: Ownership, team: &Team, ask: &Ask) -> Reply {
+    pub fn on_ask(&mut self, now: Time, right: Ownership, team: &Team, ask: &Ask) -> Reply {
         let kept = 100 - u64::from(self.percent.unwrap_or(0));
         let team = scaled(team, kept);
         let ledger = self.ledger(right, &team);
@@ -94,7 +94,7 @@
     }
 
     /// Takes tokens back. What belongs to another right, or has ended, is spent.
-    pub fn returned(&mut self, now: Time, team: &Team, returns: &[Return]) {
+    pub fn on_return(&mut self, now: Time, team: &Team, returns: &[Return]) {
         let kept = 100 - u64::from(self.percent.unwrap_or(0));
         let team = scaled(team, kept);
         if let Some(ledger) = self.ledgers.get_mut(&team.name) {
@@ -105,7 +105,7 @@
 
     /// The buckets, to be handed on by an owner that leaves. Nothing that it
     /// granted may be outstanding any more.
-    pub fn accounts(&self) -> Vec<BucketSnapshot> {
+    pub fn settled_buckets(&self) -> Vec<BucketSnapshot> {
         let settled = |ledger: &&Ledger| ledger.outstanding.is_empty();
         let account = |(team, ledger): (&crate::id::Team, &Ledger)| BucketSnapshot {
             team: team.clone(),
@@ -125,7 +125,7 @@
 
     /// Notes what an owner that left had in its buckets. It counts only for the
     /// right that directly follows that owner's.
-    pub fn inherit(&mut self, accounts: Vec<BucketSnapshot>) {
+    pub fn inherit_buckets(&mut self, accounts: Vec<BucketSnapshot>) {
         for account in accounts {
             self.inherited.insert(account.team.clone(), account);
         }
--- a/tests/rights/window.rs
+++ b/tests/rights/window.rs
@@ -186,7 +186,7 @@
             (None, Message::Ask(ask)) => {
                 let (owner, right) = &mut self.owners[number];
                 let reply = match now < right.until {
-                    true => owner.ask(now, *right, &self.team, &ask),
+                    true => owner.on_ask(now, *right, &self.team, &ask),
                     false => Reply::NotOwner(None),
                 };
                 let holder = ask.from.as_str()[1..].parse().expect("a number");
@@ -200,7 +200,7 @@
                 self.bag.push((Some(holder), number, message));
             }
             (None, Message::Return(_, returns)) => {
-                self.owners[number].0.returned(now, &self.team, &returns);
+                self.owners[number].0.on_return(now, &self.team, &returns);
             }
             (
                 Some(holder),
