--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -306,7 +306,7 @@
         let bounds = listed.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.counted(now));
+            bank.update_nodes(now, until, &listed.directory.counted(now));
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
@@ -368,7 +368,7 @@
         if snapshot.version != self.snapshot.version {
             out.push(Action::Note(Note::Adopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
-                bank.teams(now, &snapshot.teams.teams);
+                bank.set_teams(now, &snapshot.teams.teams);
             }
         }
         let age = self.listed_age(now);
--- a/src/process/node/listed/tokens.rs
+++ b/src/process/node/listed/tokens.rs
@@ -41,7 +41,7 @@
         let Some(bank) = self.quota.bank() else {
             return;
         };
-        if let Some(team) = bank.on(now, message) {
+        if let Some(team) = bank.on_message(now, message) {
             self.ingress(now, ingress::Event::Quota(team), out);
         }
         self.send_tokens(out);
--- a/src/process/quota/bank.rs
+++ b/src/process/quota/bank.rs
@@ -46,7 +46,7 @@
     placement::Placement,
 };
 pub use self::{
-    account::Waiting,
+    account::WaitingCounts,
     message::{
         Delegated,
         Lent,
@@ -135,7 +135,7 @@
     }
 
     /// Learns the teams.
-    pub fn teams(&mut self, now: Time, teams: &[team::Team]) {
+    pub fn set_teams(&mut self, now: Time, teams: &[team::Team]) {
         self.limits = teams
             .iter()
             .map(|team| (team.name.clone(), (team.rate, team.burst)))
@@ -147,7 +147,7 @@
 
     /// Learns until when this node may mint, and among which nodes the servers
     /// are chosen.
-    pub fn adopt(&mut self, now: Time, until: Time, nodes: &[&Peer]) {
+    pub fn update_nodes(&mut self, now: Time, until: Time, nodes: &[&Peer]) {
         self.mint.extend(now, until);
         if !self.placement.has(nodes) {
             self.placement.adopt(nodes);
@@ -184,7 +184,7 @@
         now: Time,
         team: &Team,
         importance: Importance,
-        others: Waiting,
+        others: WaitingCounts,
     ) -> Charge {
         let Some((rate, _)) = self.limits.get(team) else {
             return Charge::OverRate;
@@ -219,13 +219,13 @@
     }
 
     /// Whether the team is over its rate: no server had a token lately.
-    pub fn is_over(&self, now: Time, team: &Team) -> bool {
+    pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
         let account = self.accounts.get(team);
         account.is_some_and(|account| account.is_over(now))
     }
 
     /// The time until the team has a token again, as far as its servers told.
-    pub fn wait(&self, now: Time, team: &Team) -> Span {
+    pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
         let account = self.accounts.get(team);
         account.map_or(Span::ZERO, |account| account.wait(now))
     }
@@ -244,7 +244,7 @@
 
     /// Takes a message, and says for which team those who wait should try
     /// again.
-    pub fn on(&mut self, now: Time, message: Message) -> Option<Team> {
+    pub fn on_message(&mut self, now: Time, message: Message) -> Option<Team> {
         match message {
             Message::Deposit(tokens) => {
                 for (team, millis) in tokens {
@@ -304,7 +304,7 @@
     /// Gives tokens back, gives up wishes without an answer, and lists the teams
     /// whose waiting requests should try again. `waiting` tells how many of each
     /// team wait here.
-    pub fn tick(&mut self, now: Time, waiting: &BTreeMap<Team, Waiting>) -> Vec<Team> {
+    pub fn tick(&mut self, now: Time, waiting: &BTreeMap<Team, WaitingCounts>) -> Vec<Team> {
         self.silent
             .retain(|_, silence| now.since(silence.last) < SILENT_SERVER_TIMEOUT);
         self.accounts
--- a/src/process/quota/bank/account.rs
+++ b/src/process/quota/bank/account.rs
@@ -44,9 +44,9 @@
 
 /// Calls that wait for a token, by their importance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Waiting([u32; IMPORTANCE_COUNT]);
+pub struct WaitingCounts([u32; IMPORTANCE_COUNT]);
 
-impl Waiting {
+impl WaitingCounts {
     /// Adds one.
     pub fn add(&mut self, importance: Importance) {
         self.0[importance as usize] += 1;
@@ -123,7 +123,7 @@
     fraction: u64,
     /// Tokens whose requests were not run.
     returned: u32,
-    waiting: Waiting,
+    waiting: WaitingCounts,
     demand: f64,
     taken: u32,
     window: Time,
@@ -138,7 +138,7 @@
             asked: None,
             fraction: 0,
             returned: 0,
-            waiting: Waiting::default(),
+            waiting: WaitingCounts::default(),
             demand: 0.0,
             taken: 0,
             window: now,
@@ -178,7 +178,7 @@
         first.is_some_and(|first| self.loans.iter().any(|loan| loan.fits(now, first)))
     }
 
-    pub(super) fn set_waiting(&mut self, waiting: Waiting) {
+    pub(super) fn set_waiting(&mut self, waiting: WaitingCounts) {
         self.waiting = waiting;
     }
 
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -11,7 +11,7 @@
     Message,
     Reply,
     Return,
-    bank::Waiting,
+    bank::WaitingCounts,
     bucket::MILLIS_PER_TOKEN, //
 };
 use crate::{
@@ -199,7 +199,7 @@
         now: Time,
         team: &Team,
         importance: Importance,
-        others: Waiting,
+        others: WaitingCounts,
     ) -> Charge {
         match &mut self.bank {
             Some(bank) => bank.take(now, team, importance, others),
@@ -250,13 +250,13 @@
     pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
         self.bank
             .as_ref()
-            .is_some_and(|bank| bank.is_over(now, team))
+            .is_some_and(|bank| bank.is_over_rate(now, team))
     }
 
     /// The time until a team has a token again, as far as it is known.
     pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
         let bank = self.bank.as_ref();
-        bank.map_or(Span::ZERO, |bank| bank.wait(now, team))
+        bank.map_or(Span::ZERO, |bank| bank.time_until_token(now, team))
     }
 
     /// Notes that the request which took this token has begun.
--- a/src/request/ingress.rs
+++ b/src/request/ingress.rs
@@ -48,7 +48,7 @@
     policy::Policy,
     quota::{
         Holder,
-        bank::Waiting, //
+        bank::WaitingCounts, //
     },
     record::{
         Claim,
@@ -246,7 +246,7 @@
     }
 
     /// How many calls of each team wait for a rate token.
-    pub fn charging(&self) -> BTreeMap<id::Team, Waiting> {
+    pub fn charging(&self) -> BTreeMap<id::Team, WaitingCounts> {
         let teams = self.charging.iter();
         teams
             .map(|(team, line)| (team.clone(), line.waiting()))
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -23,7 +23,7 @@
     id,
     quota::{
         Charge,
-        bank::Waiting, //
+        bank::WaitingCounts, //
     },
     record::Claim, //
 };
@@ -146,7 +146,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Line {
     calls: BTreeSet<(Reverse<Importance>, id::Call)>,
-    waiting: Waiting,
+    waiting: WaitingCounts,
 }
 
 impl Line {
@@ -175,7 +175,7 @@
     }
 
     /// How many of each importance wait beside this call.
-    pub fn beside(&self, importance: Importance, call: id::Call) -> Waiting {
+    pub fn beside(&self, importance: Importance, call: id::Call) -> WaitingCounts {
         let mut waiting = self.waiting;
         if self.calls.contains(&(Reverse(importance), call)) {
             waiting.remove(importance);
@@ -184,7 +184,7 @@
     }
 
     /// How many of each importance wait.
-    pub fn waiting(&self) -> Waiting {
+    pub fn waiting(&self) -> WaitingCounts {
         self.waiting
     }
 }
--- a/src/standin/rates.rs
+++ b/src/standin/rates.rs
@@ -38,7 +38,7 @@
             JOIN_DELAY,
             MAX_VIEW_AGE,
             Message,
-            Waiting, //
+            WaitingCounts, //
         },
     },
     team::Team,
@@ -209,7 +209,7 @@
             teams,
         };
         for node in &mut fleet.nodes {
-            node.bank.teams(BEGIN, &fleet.teams);
+            node.bank.set_teams(BEGIN, &fleet.teams);
         }
         fleet.run(Span::from_secs(3), 0.0);
         fleet
@@ -257,7 +257,7 @@
     /// once.
     pub fn restart(&mut self, node: usize) {
         let mut bank = Bank::new(self.peers[node].clone());
-        bank.teams(self.now, &self.teams);
+        bank.set_teams(self.now, &self.teams);
         let restarted = &mut self.nodes[node];
         if restarted.record <= self.now {
             restarted.since = self.now;
@@ -355,7 +355,7 @@
         let now = self.now;
         let ticked = &mut self.nodes[node];
         ticked.calls.retain(|call| call.until > now);
-        let mut waiting: BTreeMap<_, Waiting> = BTreeMap::new();
+        let mut waiting: BTreeMap<_, WaitingCounts> = BTreeMap::new();
         for call in &ticked.calls {
             let team = self.teams[call.team].name.clone();
             waiting.entry(team).or_default().add(call.importance);
@@ -403,7 +403,7 @@
         if now.since(adopting.since) < JOIN_DELAY {
             until = Time::ZERO;
         }
-        self.nodes[node].bank.adopt(now, until, &counted);
+        self.nodes[node].bank.update_nodes(now, until, &counted);
     }
 
     fn call(&mut self, team: usize) {
@@ -438,7 +438,7 @@
     }
 
     fn charge(&mut self, node: usize, call: Call) {
-        let mut others = Waiting::default();
+        let mut others = WaitingCounts::default();
         let charged = &mut self.nodes[node];
         let beside = charged.calls.iter().filter(|w| w.team == call.team);
         beside.for_each(|other| others.add(other.importance));
@@ -508,7 +508,7 @@
     }
 
     fn receive(&mut self, node: usize, message: Message) {
-        let team = self.nodes[node].bank.on(self.now, message);
+        let team = self.nodes[node].bank.on_message(self.now, message);
         self.send(node);
         if let Some(team) = team {
             let team = self.teams.iter().position(|t| t.name == team);
