--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Seat, //
-        SeatManager,
+        Seat,
+        SeatManager, //
     },
     message::Message,
     quota::{
@@ -100,7 +100,7 @@
     }
 
     /// The rights that this node holds, to look at.
-    pub fn keeper(&self) -> &SeatManager {
+    pub fn seat_manager(&self) -> &SeatManager {
         &self.rights.keeper
     }
 
