--- a/src/process/lease.rs
+++ b/src/process/lease.rs
@@ -29,10 +29,10 @@
 };
 
 use self::{
-    base::Base,
+    base::OwnLeases,
     claim::Claims,
-    pair::Pair,
-    ward::Ward, //
+    pair::SuccessorState,
+    ward::OwnerState, //
 };
 use crate::{
     clock::{
@@ -92,7 +92,7 @@
 
 /// One life of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Party {
+pub struct NodeLife {
     /// Its name.
     pub instance: Instance,
     /// Which life.
@@ -101,16 +101,17 @@
 
 /// What the store keeps of a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Record {
-    owner: Party,
+struct SeatRecord {
+    owner: NodeLife,
     epoch: Epoch,
     /// Tells one's own write when its answer was lost.
-    claim: u64,
+    #[serde(rename = "claim")]
+    write_id: u64,
 }
 
 /// What the store keeps of a node that may own seats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Node {
+struct NodeRecord {
     successor: Option<Instance>,
     /// The long lease with which the record goes.
     lease: Lease,
@@ -122,14 +123,16 @@
     /// The owner's wish that its successor keeps still for a while.
     Extend(Extend),
     /// The successor's answer.
-    Accord(Accord),
+    #[serde(rename = "Accord")]
+    Reply(ExtendReply),
 }
 
 /// What an owner lives by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     /// Its short lease.
-    Calm,
+    #[serde(rename = "Calm")]
+    Normal,
     /// Its short lease, and no longer than its successor's promises.
     Bound,
     /// Its successor's promises alone.
@@ -137,42 +140,48 @@
     /// Promises, but it has a short lease again and would go back to it.
     Thawing,
     /// Nothing: it has given up all its seats.
-    Over,
+    #[serde(rename = "Over")]
+    Released,
 }
 
 /// An owner's wish that its successor keeps still for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extend {
     /// The owner.
-    pub owner: Party,
+    pub owner: NodeLife,
     /// Counts the owner's wishes; an older one is ignored.
     pub sequence: u64,
     /// What the owner lives by.
     pub state: State,
     /// Time that the owner's short lease has left at most.
-    pub short: Span,
+    #[serde(rename = "short")]
+    pub short_left: Span,
     /// Time that the owner's long lease has left at least, counted from `heard`.
-    pub long: Span,
+    #[serde(rename = "long")]
+    pub long_left: Span,
     /// The successor's own clock, as it stood in the last answer.
-    pub heard: Option<u64>,
+    #[serde(rename = "heard")]
+    pub echoed_clock: Option<u64>,
     /// The owner's seats.
     pub seats: Vec<(Seat, Epoch)>,
 }
 
 /// How a successor stands to an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum PromiseStatus {
     /// It keeps still for the time of a promise.
     Promise,
     /// It promises nothing, and has not taken over without the store.
-    Bare,
+    #[serde(rename = "Bare")]
+    NoPromise,
     /// It has taken over.
-    Taken,
+    #[serde(rename = "Taken")]
+    TakenOver,
 }
 
 /// A successor's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Accord {
+pub struct ExtendReply {
     /// Who answers.
     pub from: Instance,
     /// The life it answers to.
@@ -182,7 +191,8 @@
     /// What the owner lived by in that wish.
     pub state: State,
     /// How it stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub promise_status: PromiseStatus,
     /// Its own clock.
     pub clock: u64,
 }
@@ -233,49 +243,49 @@
 
 #[derive(Clone, Debug)]
 enum Purpose {
-    Base(base::Step),
+    OwnLeases(base::Step),
     Claim(claim::Step),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Basis {
     /// Written in the store under this short lease.
-    Short(Lease),
+    ShortLease(Lease),
     /// Taken over without the store, until then at most.
-    Solo(Time),
+    Takeover(Time),
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldSeat {
     epoch: Epoch,
     since: Time,
     basis: Basis,
     /// The end of the time alone, until the store is known to name this node.
-    cap: Time,
-    follows: Option<Epoch>,
+    expiry_cap: Time,
+    continued_epoch: Option<Epoch>,
 }
 
 /// The rights of one node, and its part in those of others.
 #[derive(Debug)]
 pub struct SeatManager {
-    me: Party,
-    setting: Options,
-    born: Option<Time>,
-    ticked: Time,
+    local: NodeLife,
+    options: Options,
+    started_at: Option<Time>,
+    last_tick: Time,
     rng: ChaCha8Rng,
-    base: Base,
-    pair: Option<Pair>,
-    wards: BTreeMap<Party, Ward>,
+    own_leases: OwnLeases,
+    successor_state: Option<SuccessorState>,
+    owners: BTreeMap<NodeLife, OwnerState>,
     claims: Claims,
-    held: BTreeMap<Seat, Held>,
-    hints: BTreeMap<Seat, Instance>,
-    calls: BTreeMap<u64, (Time, Purpose)>,
-    next: u64,
+    held: BTreeMap<Seat, HeldSeat>,
+    owner_hints: BTreeMap<Seat, Instance>,
+    pending_calls: BTreeMap<u64, (Time, Purpose)>,
+    last_call: u64,
     draining: bool,
     /// What it held when it gave everything up.
-    released: Vec<(Seat, Epoch)>,
+    released_seats: Vec<(Seat, Epoch)>,
     /// Nodes that were silent as successors, and until when they are not named.
-    shunned: BTreeMap<Instance, Time>,
+    avoided_successors: BTreeMap<Instance, Time>,
 }
 
 impl fmt::Display for Seat {
@@ -288,40 +298,40 @@
     /// A keeper without rights.
     pub fn new(instance: Instance, life: Incarnation, seed: u64) -> Self {
         Self {
-            me: Party { instance, life },
-            setting: Options::default(),
-            born: None,
-            ticked: Time::ZERO,
+            local: NodeLife { instance, life },
+            options: Options::default(),
+            started_at: None,
+            last_tick: Time::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            base: Base::default(),
-            pair: None,
-            wards: BTreeMap::new(),
+            own_leases: OwnLeases::default(),
+            successor_state: None,
+            owners: BTreeMap::new(),
             claims: Claims::default(),
             held: BTreeMap::new(),
-            hints: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            next: 0,
+            owner_hints: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
+            last_call: 0,
             draining: false,
-            released: Vec::new(),
-            shunned: BTreeMap::new(),
+            released_seats: Vec::new(),
+            avoided_successors: BTreeMap::new(),
         }
     }
 
     /// Goes by other times, from the beginning of the node on.
-    pub fn configure(&mut self, setting: Options) {
-        self.setting = setting;
+    pub fn configure(&mut self, options: Options) {
+        self.options = options;
     }
 
     /// The right to a seat, if this node holds it now. To be asked immediately
     /// before each use: a node that was paused learns here that its time is over.
     pub fn ownership(&self, now: Time, seat: &Seat) -> Option<Ownership> {
         let held = self.held.get(seat)?;
-        let until = self.until(held).min(held.cap);
+        let until = self.valid_until(held).min(held.expiry_cap);
         (now < until).then_some(Ownership {
             epoch: held.epoch,
             since: held.since,
             until,
-            continued_epoch: held.follows,
+            continued_epoch: held.continued_epoch,
         })
     }
 
@@ -334,19 +344,21 @@
     /// Who was last known to own a seat.
     pub fn owner(&self, seat: &Seat) -> Option<&Instance> {
         match self.held.contains_key(seat) {
-            true => Some(&self.me.instance),
-            false => self.hints.get(seat),
+            true => Some(&self.local.instance),
+            false => self.owner_hints.get(seat),
         }
     }
 
     /// Learns who owns a seat.
     pub fn set_owner_hint(&mut self, seat: Seat, owner: Instance) {
-        self.hints.insert(seat, owner);
+        self.owner_hints.insert(seat, owner);
     }
 
     /// Whether the owner lives by its successor's promises.
     pub fn is_frozen(&self) -> bool {
-        self.pair.as_ref().is_some_and(|pair| pair.frozen)
+        self.successor_state
+            .as_ref()
+            .is_some_and(|successor| successor.frozen)
     }
 
     /// Goes on with what is due. `wanted` are the seats that this node should
@@ -359,46 +371,46 @@
         successors: &[Instance],
         out: &mut Vec<Action>,
     ) {
-        self.born.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         // A node that wakes gives the store a moment to answer before it holds
         // it for silent.
-        if now.since(self.ticked) > AWAKE {
-            self.base.woke(now);
+        if now.since(self.last_tick) > PAUSE_THRESHOLD {
+            self.own_leases.note_resumed(now);
         }
-        self.ticked = now;
-        self.lapse(now);
-        let asked = self.claims.is_contested() || !self.wards.is_empty();
+        self.last_tick = now;
+        self.drop_expired(now);
+        let asked = self.claims.has_reports() || !self.owners.is_empty();
         let needed = asked || !wanted.is_empty() || !self.held.is_empty();
         if needed && !is_minority(members) {
-            let successor = self.choose(now, successors);
-            self.base_tick(now, successor, out);
+            let successor = self.choose_successor(now, successors);
+            self.own_leases_tick(now, successor, out);
         }
-        self.pair_tick(now, out);
-        self.ward_tick(now);
+        self.successor_tick(now, out);
+        self.owners_tick(now);
         if !is_minority(members) {
-            self.claim_tick(now, members, wanted, out);
+            self.claims_tick(now, members, wanted, out);
         }
     }
 
     /// Takes the answer to a call of the store.
     pub fn answer(&mut self, now: Time, number: u64, answer: Answer, out: &mut Vec<Action>) {
-        let Some((asked, purpose)) = self.calls.remove(&number) else {
+        let Some((asked, purpose)) = self.pending_calls.remove(&number) else {
             return;
         };
         if answer != Answer::Lost {
-            self.base.heard(asked);
+            self.own_leases.note_answer(asked);
         }
         match purpose {
-            Purpose::Base(step) => self.base_answer(now, asked, step, answer),
-            Purpose::Claim(step) => self.claim_answer(now, step, answer, out),
+            Purpose::OwnLeases(step) => self.on_lease_answer(now, asked, step, answer),
+            Purpose::Claim(step) => self.on_claim_answer(now, step, answer, out),
         }
     }
 
     /// Takes a message of another node.
     pub fn message(&mut self, now: Time, message: Message, out: &mut Vec<Action>) {
         match message {
-            Message::Extend(extend) => self.extend(now, extend, out),
-            Message::Accord(accord) => self.accord(now, accord),
+            Message::Extend(extend) => self.on_extend(now, extend, out),
+            Message::Reply(reply) => self.on_reply(now, reply),
         }
     }
 
@@ -406,16 +418,16 @@
     /// that was done under them is outstanding any more.
     pub fn drain(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.draining {
-            self.released = self.lasting(now);
+            self.released_seats = self.renewable_seats(now);
         }
         self.draining = true;
         self.held.clear();
-        self.pair_over(now, out);
+        self.send_release(now, out);
     }
 
     /// The node that this one has named as its successor.
     pub fn successor(&self) -> Option<&Instance> {
-        self.pair.as_ref().map(Pair::successor)
+        self.successor_state.as_ref().map(SuccessorState::instance)
     }
 
     /// Whether the node has given up its seats.
@@ -425,7 +437,11 @@
 
     /// Whether the successor knows that this node's seats are free.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.pair.as_ref().is_none_or(|pair| pair.released)
+        self.draining
+            && self
+                .successor_state
+                .as_ref()
+                .is_none_or(|successor| successor.release_acknowledged)
     }
 
     /// Drops seats whose short lease has ended, before anything is said of them.
@@ -435,39 +451,41 @@
     /// told "calm" in between would bring them to life again, beside their new
     /// owners. Where the store still has them under the same lease, they are
     /// found again there.
-    fn lapse(&mut self, now: Time) {
+    fn drop_expired(&mut self, now: Time) {
         if self.is_frozen() {
             return;
         }
-        let ended = |held: &Held| now >= self.until(held).min(held.cap);
+        let ended = |held: &HeldSeat| now >= self.valid_until(held).min(held.expiry_cap);
         let ended = self.held.iter().filter(|(_, held)| ended(held));
         let ended: Vec<Seat> = ended.map(|(seat, _)| seat.clone()).collect();
         for seat in ended {
             self.held.remove(&seat);
         }
-        if let Some(pair) = &mut self.pair {
-            pair.lapse(now);
+        if let Some(successor) = &mut self.successor_state {
+            successor.expire_binding(now);
         }
     }
 
-    fn until(&self, held: &Held) -> Time {
+    fn valid_until(&self, held: &HeldSeat) -> Time {
         match held.basis {
-            Basis::Solo(until) => until,
-            Basis::Short(lease) => {
-                let short = self.base.short_end(lease).unwrap_or(Time::ZERO);
-                match &self.pair {
-                    Some(pair) if pair.frozen => pair.until(lease, short).min(self.base.long_end()),
-                    Some(pair) if pair.bound => short.min(pair.promise_end),
+            Basis::Takeover(until) => until,
+            Basis::ShortLease(lease) => {
+                let short = self.own_leases.short_end(lease).unwrap_or(Time::ZERO);
+                match &self.successor_state {
+                    Some(successor) if successor.frozen => successor
+                        .valid_until(lease, short)
+                        .min(self.own_leases.long_end()),
+                    Some(successor) if successor.bound => short.min(successor.promise_end),
                     _ => short,
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: Time, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
-        self.next += 1;
-        self.calls.insert(self.next, (now, purpose));
-        out.push(Action::Store(self.next, call));
+    fn call_store(&mut self, now: Time, purpose: Purpose, call: Call, out: &mut Vec<Action>) {
+        self.last_call += 1;
+        self.pending_calls.insert(self.last_call, (now, purpose));
+        out.push(Action::Store(self.last_call, call));
     }
 
     fn jitter(&mut self, low: Span, high: Span) -> Span {
@@ -479,19 +497,19 @@
     format!("right/seat/{seat}")
 }
 
-fn alive_key(party: &Party) -> String {
+fn alive_key(party: &NodeLife) -> String {
     format!("right/alive/{}/{}", party.instance, party.life)
 }
 
-fn node_key(party: &Party) -> String {
+fn node_key(party: &NodeLife) -> String {
     format!("right/node/{}/{}", party.instance, party.life)
 }
 
-fn read<T: serde::de::DeserializeOwned>(entry: &crate::store::Entry) -> Option<T> {
+fn decode<T: serde::de::DeserializeOwned>(entry: &crate::store::Entry) -> Option<T> {
     serde_json::from_str(&entry.value).ok()
 }
 
-fn write<T: Serialize>(value: &T) -> Option<String> {
+fn encode<T: Serialize>(value: &T) -> Option<String> {
     serde_json::to_string(value).ok()
 }
 
@@ -510,6 +528,6 @@
         .is_none_or(|peer| matches!(peer.status, Status::Suspect | Status::Dead))
 }
 
-const NONE: Revision = Revision(0);
+const NO_REVISION: Revision = Revision(0);
 /// A gap between ticks after which the node was paused.
-const AWAKE: Span = Span::from_ms(500);
+const PAUSE_THRESHOLD: Span = Span::from_ms(500);
--- a/src/process/lease/claim.rs
+++ b/src/process/lease/claim.rs
@@ -14,20 +14,20 @@
     Action,
     Basis,
     Epoch,
-    Held,
-    NONE,
-    Node,
-    Party,
+    HeldSeat,
+    NO_REVISION,
+    NodeLife,
+    NodeRecord,
     Purpose,
-    Record,
     Seat,
     SeatManager,
+    SeatRecord,
     alive_key,
+    decode,
+    encode, //
     is_gone,
     node_key,
-    read,
     seat_key,
-    write, //
 };
 use crate::{
     clock::{
@@ -46,21 +46,21 @@
     },
 };
 
-const SLOW: Span = Span::from_ms(1500);
+const CALL_TIMEOUT: Span = Span::from_ms(1500);
 /// Silence of an owner from which on its successor looks often.
-const SILENT: Span = Span::from_ms(1200);
+const OWNER_SILENCE_THRESHOLD: Span = Span::from_ms(1200);
 /// Seats that are looked at together, at most.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT_CLAIMS: usize = 32;
 /// How long a question about a seat keeps this node interested in it.
-const CONTEST: Span = Span::from_secs(1);
+const REPORT_TTL: Span = Span::from_secs(1);
 
 /// What was read of a seat that has another owner.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Found {
+pub(super) struct SeatRead {
     seat: Seat,
     revision: Revision,
-    record: Record,
-    begun: Time,
+    record: SeatRecord,
+    read_at: Time,
 }
 
 /// A write that makes a seat this node's.
@@ -70,71 +70,73 @@
     expect: Revision,
     epoch: Epoch,
     lease: Lease,
-    number: u64,
-    follows: Option<Epoch>,
-    victim: Option<Party>,
+    write_id: u64,
+    continued_epoch: Option<Epoch>,
+    previous_owner: Option<NodeLife>,
 }
 
 /// One call to take a seat.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Step {
     /// Read the seat's record.
-    Read(Seat),
+    ReadSeat(Seat),
     /// Read the owner's sign of life.
-    Alive(Found),
+    ReadAlive(SeatRead),
     /// Read the owner's record.
-    Node(Found),
+    ReadNode(SeatRead),
     /// Swap the seat's record.
-    Claim(Claim),
+    Write(Claim),
 }
 
 /// The seats that this node tries to take.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claims {
     /// Until when this life may not touch the records that name it.
-    pub(super) barred: Time,
+    pub(super) own_records_barred_until: Time,
     /// Seats whose call is under way, and until when it is waited for.
-    busy: BTreeMap<Seat, Time>,
-    due: BTreeMap<Seat, Time>,
+    in_flight: BTreeMap<Seat, Time>,
+    next_attempt: BTreeMap<Seat, Time>,
     /// Seats that others asked this node about, as their owner did not answer.
-    contested: BTreeMap<Seat, Time>,
+    reported: BTreeMap<Seat, Time>,
     /// Writes that may be under way, or may yet take effect, against these owners.
-    unsure: BTreeMap<Seat, Party>,
+    uncertain_writes: BTreeMap<Seat, NodeLife>,
     /// The latest write of each seat, to know it again when its answer is lost.
-    sent: BTreeMap<Seat, (u64, Lease)>,
-    next: u64,
+    last_writes: BTreeMap<Seat, (u64, Lease)>,
+    last_write_id: u64,
 }
 
 impl Claims {
     /// Whether anybody asks about seats here.
-    pub(super) fn is_contested(&self) -> bool {
-        !self.contested.is_empty()
+    pub(super) fn has_reports(&self) -> bool {
+        !self.reported.is_empty()
     }
 
     /// Whether a write against this owner may be under way.
-    pub(super) fn is_against(&self, owner: &Party) -> bool {
-        self.unsure.values().any(|victim| victim == owner)
+    pub(super) fn may_write_against(&self, owner: &NodeLife) -> bool {
+        self.uncertain_writes
+            .values()
+            .any(|previous_owner| previous_owner == owner)
     }
 }
 
 impl SeatManager {
-    pub(super) fn claim_tick(
+    pub(super) fn claims_tick(
         &mut self,
         now: Time,
         members: &Table,
         wanted: &[Seat],
         out: &mut Vec<Action>,
     ) {
-        let Some(lease) = self.base.live(now) else {
+        let Some(lease) = self.own_leases.live_short_lease(now) else {
             return;
         };
         if self.draining || self.is_frozen() {
             return;
         }
-        self.claims.busy.retain(|_, until| now < *until);
-        let room = AT_ONCE.saturating_sub(self.claims.busy.len());
-        for seat in self.due_seats(now, lease, members, wanted, room) {
-            self.claim_step(now, Step::Read(seat), out);
+        self.claims.in_flight.retain(|_, until| now < *until);
+        let capacity = MAX_CONCURRENT_CLAIMS.saturating_sub(self.claims.in_flight.len());
+        for seat in self.due_seats(now, lease, members, wanted, capacity) {
+            self.start_step(now, Step::ReadSeat(seat), out);
         }
     }
 
@@ -144,48 +146,53 @@
         lease: Lease,
         members: &Table,
         wanted: &[Seat],
-        room: usize,
+        capacity: usize,
     ) -> Vec<Seat> {
-        let orphans = self.orphans(now);
+        let orphaned = self.seats_of_silent_owners(now);
         let mine = |seat: &Seat| {
-            self.held
-                .get(seat)
-                .is_some_and(|held| held.basis == Basis::Short(lease) && held.cap == Time::NEVER)
+            self.held.get(seat).is_some_and(|held| {
+                held.basis == Basis::ShortLease(lease) && held.expiry_cap == Time::NEVER
+            })
         };
-        let well = |seat: &Seat| {
-            let owner = self.hints.get(seat);
-            owner.is_some_and(|owner| *owner != self.me.instance && !is_gone(members, owner))
+        let owner_reachable = |seat: &Seat| {
+            let owner = self.owner_hints.get(seat);
+            owner.is_some_and(|owner| *owner != self.local.instance && !is_gone(members, owner))
         };
         let due = |seat: &Seat| {
-            let at = self.claims.due.get(seat).copied().unwrap_or_default();
-            now >= at && !self.claims.busy.contains_key(seat)
+            let at = self
+                .claims
+                .next_attempt
+                .get(seat)
+                .copied()
+                .unwrap_or_default();
+            now >= at && !self.claims.in_flight.contains_key(seat)
         };
-        let solo = self.held.keys().filter(|seat| !mine(seat));
-        let contested = self.claims.contested.keys();
-        let unsure = self.claims.unsure.keys();
-        let seats = unsure.chain(orphans.iter()).chain(solo);
+        let taken_over = self.held.keys().filter(|seat| !mine(seat));
+        let contested = self.claims.reported.keys();
+        let unsure = self.claims.uncertain_writes.keys();
+        let seats = unsure.chain(orphaned.iter()).chain(taken_over);
         let seats = seats.chain(contested).chain(wanted).filter(|seat| {
-            let asked = orphans.contains(seat) || self.claims.contested.contains_key(*seat);
-            let worth = asked || !well(seat);
-            !mine(seat) && due(seat) && worth
+            let reported = orphaned.contains(seat) || self.claims.reported.contains_key(*seat);
+            let worth_reading = reported || !owner_reachable(seat);
+            !mine(seat) && due(seat) && worth_reading
         });
         let unique: BTreeSet<&Seat> = seats.collect();
-        unique.into_iter().take(room).cloned().collect()
+        unique.into_iter().take(capacity).cloned().collect()
     }
 
-    fn claim_step(&mut self, now: Time, step: Step, out: &mut Vec<Action>) {
+    fn start_step(&mut self, now: Time, step: Step, out: &mut Vec<Action>) {
         let get = |key: String| Call::Get { key };
         let call = match &step {
-            Step::Read(seat) => get(seat_key(seat)),
-            Step::Alive(found) => get(alive_key(&found.record.owner)),
-            Step::Node(found) => get(node_key(&found.record.owner)),
-            Step::Claim(claim) => Call::Swap {
+            Step::ReadSeat(seat) => get(seat_key(seat)),
+            Step::ReadAlive(found) => get(alive_key(&found.record.owner)),
+            Step::ReadNode(found) => get(node_key(&found.record.owner)),
+            Step::Write(claim) => Call::Swap {
                 key: seat_key(&claim.seat),
                 expect: claim.expect,
-                value: write(&Record {
-                    owner: self.me.clone(),
+                value: encode(&SeatRecord {
+                    owner: self.local.clone(),
                     epoch: claim.epoch,
-                    claim: claim.number,
+                    write_id: claim.write_id,
                 }),
                 lease: None,
             },
@@ -193,51 +200,59 @@
         // Once the write may have taken effect, the store lets others have the
         // seat as soon as the short lease ends: the time alone counts no more.
         // Else a node whose answer is lost would go on beside the next owner.
-        if let Step::Claim(claim) = &step {
-            let sent = (claim.number, claim.lease);
-            self.claims.sent.insert(claim.seat.clone(), sent);
+        if let Step::Write(claim) = &step {
+            let sent = (claim.write_id, claim.lease);
+            self.claims.last_writes.insert(claim.seat.clone(), sent);
             if let Some(held) = self.held.get_mut(&claim.seat) {
-                held.basis = Basis::Short(claim.lease);
+                held.basis = Basis::ShortLease(claim.lease);
             }
         }
-        if let Step::Claim(claim) = &step
-            && let Some(victim) = &claim.victim
+        if let Step::Write(claim) = &step
+            && let Some(previous_owner) = &claim.previous_owner
         {
             self.claims
-                .unsure
-                .insert(claim.seat.clone(), victim.clone());
-            self.ward_doubt(victim);
+                .uncertain_writes
+                .insert(claim.seat.clone(), previous_owner.clone());
+            self.bar_promises(previous_owner);
         }
-        self.claims.busy.insert(step.seat().clone(), now + SLOW);
-        self.ask(now, Purpose::Claim(step), call, out);
+        self.claims
+            .in_flight
+            .insert(step.seat().clone(), now + CALL_TIMEOUT);
+        self.call_store(now, Purpose::Claim(step), call, out);
     }
 
-    pub(super) fn claim_answer(
+    pub(super) fn on_claim_answer(
         &mut self,
         now: Time,
         step: Step,
         answer: Answer,
         out: &mut Vec<Action>,
     ) {
-        self.claims.busy.remove(step.seat());
-        let recent = |_: &Seat, at: &mut Time| now.since(*at) < CONTEST;
-        self.claims.contested.retain(recent);
+        self.claims.in_flight.remove(step.seat());
+        let recent = |_: &Seat, at: &mut Time| now.since(*at) < REPORT_TTL;
+        self.claims.reported.retain(recent);
         if answer == Answer::Lost {
             let seat = step.seat().clone();
-            return self.later(now, seat, Span::from_ms(200), Span::from_ms(600));
+            return self.retry_later(now, seat, Span::from_ms(200), Span::from_ms(600));
         }
         match (step, answer) {
-            (Step::Read(seat), Answer::Value(entry)) => self.seat_read(now, seat, entry, out),
-            (Step::Alive(found), Answer::Value(entry)) => self.alive_read(now, found, entry, out),
-            (Step::Node(found), Answer::Value(entry)) => self.node_found(now, found, entry, out),
-            (Step::Claim(claim), Answer::Swapped(_)) => self.gained(now, claim),
-            (Step::Claim(claim), Answer::Conflict(_)) => {
-                self.claims.unsure.remove(&claim.seat);
-                self.later(now, claim.seat, Span::from_ms(50), Span::from_ms(150));
+            (Step::ReadSeat(seat), Answer::Value(entry)) => {
+                self.on_seat_read(now, seat, entry, out)
+            }
+            (Step::ReadAlive(found), Answer::Value(entry)) => {
+                self.on_alive_read(now, found, entry, out)
+            }
+            (Step::ReadNode(found), Answer::Value(entry)) => {
+                self.on_owner_node_read(now, found, entry, out)
+            }
+            (Step::Write(claim), Answer::Swapped(_)) => self.on_claimed(now, claim),
+            (Step::Write(claim), Answer::Conflict(_)) => {
+                self.claims.uncertain_writes.remove(&claim.seat);
+                self.retry_later(now, claim.seat, Span::from_ms(50), Span::from_ms(150));
             }
             (step, _) => {
                 let seat = step.seat().clone();
-                self.later(now, seat, Span::from_secs(2), Span::from_secs(4));
+                self.retry_later(now, seat, Span::from_secs(2), Span::from_secs(4));
             }
         }
     }
@@ -247,93 +262,113 @@
     /// every such question.
     pub fn note_unreachable_owner(&mut self, now: Time, seat: &Seat) {
         if !self.held.contains_key(seat) && !self.draining {
-            self.claims.contested.insert(seat.clone(), now);
-            if let Some(due) = self.claims.due.get_mut(seat)
-                && *due > now + CONTEST + CONTEST
+            self.claims.reported.insert(seat.clone(), now);
+            if let Some(due) = self.claims.next_attempt.get_mut(seat)
+                && *due > now + REPORT_TTL + REPORT_TTL
             {
                 *due = now;
             }
         }
     }
 
-    fn later(&mut self, now: Time, seat: Seat, low: Span, high: Span) {
+    fn retry_later(&mut self, now: Time, seat: Seat, low: Span, high: Span) {
         let at = now + self.jitter(low, high);
-        self.claims.due.insert(seat, at);
+        self.claims.next_attempt.insert(seat, at);
     }
 
-    fn seat_read(&mut self, now: Time, seat: Seat, entry: Option<Entry>, out: &mut Vec<Action>) {
-        self.claims.unsure.remove(&seat);
-        let Some(lease) = self.base.live(now).filter(|_| !self.draining) else {
+    fn on_seat_read(&mut self, now: Time, seat: Seat, entry: Option<Entry>, out: &mut Vec<Action>) {
+        self.claims.uncertain_writes.remove(&seat);
+        let Some(lease) = self
+            .own_leases
+            .live_short_lease(now)
+            .filter(|_| !self.draining)
+        else {
             return;
         };
         let Some(entry) = entry else {
             let claim = Claim {
                 seat,
-                expect: NONE,
+                expect: NO_REVISION,
                 epoch: Epoch(2),
                 lease,
-                number: self.claim_number(),
-                follows: None,
-                victim: None,
+                write_id: self.next_write_id(),
+                continued_epoch: None,
+                previous_owner: None,
             };
-            return self.claim_step(now, Step::Claim(claim), out);
+            return self.start_step(now, Step::Write(claim), out);
         };
-        let Some(record) = read::<Record>(&entry) else {
-            return self.later(now, seat, Span::from_secs(20), Span::from_secs(30));
+        let Some(record) = decode::<SeatRecord>(&entry) else {
+            return self.retry_later(now, seat, Span::from_secs(20), Span::from_secs(30));
         };
-        self.ward_forget(&seat, &record.owner);
-        let found = Found {
+        self.forget_seat_of_others(&seat, &record.owner);
+        let found = SeatRead {
             seat,
             revision: entry.revision,
             record,
-            begun: now,
+            read_at: now,
         };
-        match found.record.owner == self.me {
-            true => self.own_read(now, found, lease, out),
-            false => self.other_read(now, found, lease, out),
+        match found.record.owner == self.local {
+            true => self.on_own_seat_read(now, found, lease, out),
+            false => self.on_foreign_seat_read(now, found, lease, out),
         }
     }
 
     /// The store names this life. Either the answer to its write was lost, or
     /// its lease had ended since and it takes the seat anew.
-    fn own_read(&mut self, now: Time, found: Found, lease: Lease, out: &mut Vec<Action>) {
-        if now < self.claims.barred {
-            return self.later(now, found.seat, Span::from_secs(5), Span::from_secs(10));
+    fn on_own_seat_read(
+        &mut self,
+        now: Time,
+        found: SeatRead,
+        lease: Lease,
+        out: &mut Vec<Action>,
+    ) {
+        if now < self.claims.own_records_barred_until {
+            return self.retry_later(now, found.seat, Span::from_secs(5), Span::from_secs(10));
         }
         let mut claim = Claim {
             expect: found.revision,
             epoch: found.record.epoch,
             lease,
-            number: found.record.claim,
-            follows: None,
-            victim: None,
+            write_id: found.record.write_id,
+            continued_epoch: None,
+            previous_owner: None,
             seat: found.seat,
         };
-        if self.claims.sent.get(&claim.seat) == Some(&(claim.number, lease)) {
-            return self.gained(now, claim);
+        if self.claims.last_writes.get(&claim.seat) == Some(&(claim.write_id, lease)) {
+            return self.on_claimed(now, claim);
         }
         // Whoever held it all the time goes on with what it counted.
         let right = self.ownership(now, &claim.seat).map(|right| right.epoch);
-        claim.follows = right.filter(|epoch| *epoch == claim.epoch);
+        claim.continued_epoch = right.filter(|epoch| *epoch == claim.epoch);
         claim.epoch = Epoch(claim.epoch.0 + 2);
-        claim.number = self.claim_number();
-        self.claim_step(now, Step::Claim(claim), out);
+        claim.write_id = self.next_write_id();
+        self.start_step(now, Step::Write(claim), out);
     }
 
-    fn claim_number(&mut self) -> u64 {
-        self.claims.next += 1;
-        self.claims.next
+    fn next_write_id(&mut self) -> u64 {
+        self.claims.last_write_id += 1;
+        self.claims.last_write_id
     }
 
-    fn other_read(&mut self, now: Time, found: Found, lease: Lease, out: &mut Vec<Action>) {
+    fn on_foreign_seat_read(
+        &mut self,
+        now: Time,
+        found: SeatRead,
+        lease: Lease,
+        out: &mut Vec<Action>,
+    ) {
         let owner = found.record.owner.clone();
-        self.hints
+        self.owner_hints
             .insert(found.seat.clone(), owner.instance.clone());
         let epoch = found.record.epoch;
-        if !self.succeeds(now, &owner, &found.seat, epoch) {
-            let free = self.is_free(now, &owner, &found.seat, epoch, found.begun);
-            let step = if free { Step::Node } else { Step::Alive };
-            return self.claim_step(now, step(found), out);
+        if !self.has_taken_over_seat(now, &owner, &found.seat, epoch) {
+            let free = self.has_bound_seat_ended(now, &owner, &found.seat, epoch, found.read_at);
+            let step = if free {
+                Step::ReadNode
+            } else {
+                Step::ReadAlive
+            };
+            return self.start_step(now, step(found), out);
         }
         let own = self.held.get(&found.seat).map(|held| held.epoch);
         let epoch = own.unwrap_or(Epoch(found.record.epoch.0 + 2));
@@ -342,55 +377,73 @@
             expect: found.revision,
             epoch,
             lease,
-            number: self.claim_number(),
-            follows: None,
-            victim: Some(owner),
+            write_id: self.next_write_id(),
+            continued_epoch: None,
+            previous_owner: Some(owner),
         };
-        self.claim_step(now, Step::Claim(claim), out);
+        self.start_step(now, Step::Write(claim), out);
     }
 
-    fn alive_read(&mut self, now: Time, found: Found, entry: Option<Entry>, out: &mut Vec<Action>) {
+    fn on_alive_read(
+        &mut self,
+        now: Time,
+        found: SeatRead,
+        entry: Option<Entry>,
+        out: &mut Vec<Action>,
+    ) {
         match entry {
-            None => self.claim_step(now, Step::Node(found), out),
-            Some(_) => self.spare(now, found),
+            None => self.start_step(now, Step::ReadNode(found), out),
+            Some(_) => self.on_owner_alive(now, found),
         }
     }
 
     /// The owner lives. One look at it answers for all seats of a ward, and the
     /// longer a ward is silent though it lives, the fewer looks it is worth.
-    fn spare(&mut self, now: Time, found: Found) {
-        let ward = self.ward_seats(now, &found.record.owner);
-        let Some((seats, silent)) = ward.filter(|(_, silent)| *silent > SILENT) else {
-            let contested = self.claims.contested.contains_key(&found.seat);
+    fn on_owner_alive(&mut self, now: Time, found: SeatRead) {
+        let owner_state = self.owner_seats(now, &found.record.owner);
+        let Some((seats, silent)) =
+            owner_state.filter(|(_, silent)| *silent > OWNER_SILENCE_THRESHOLD)
+        else {
+            let contested = self.claims.reported.contains_key(&found.seat);
             let (low, high) = if contested {
                 (700, 1400)
             } else {
                 (20_000, 30_000)
             };
-            return self.later(now, found.seat, Span::from_ms(low), Span::from_ms(high));
+            return self.retry_later(now, found.seat, Span::from_ms(low), Span::from_ms(high));
         };
         let low = silent
             .scale(0.1)
             .clamp(Span::from_ms(150), Span::from_secs(4));
         let at = now + self.jitter(low, low + low);
         for seat in seats {
-            self.claims.due.insert(seat, at);
+            self.claims.next_attempt.insert(seat, at);
         }
-        self.claims.due.insert(found.seat, at);
+        self.claims.next_attempt.insert(found.seat, at);
     }
 
-    fn node_found(&mut self, now: Time, found: Found, entry: Option<Entry>, out: &mut Vec<Action>) {
-        let node = entry.as_ref().and_then(read::<Node>);
+    fn on_owner_node_read(
+        &mut self,
+        now: Time,
+        found: SeatRead,
+        entry: Option<Entry>,
+        out: &mut Vec<Action>,
+    ) {
+        let node = entry.as_ref().and_then(decode::<NodeRecord>);
         let named = node.as_ref().and_then(|node| node.successor.as_ref());
-        let mine = named == Some(&self.me.instance);
+        let mine = named == Some(&self.local.instance);
         if entry.is_some() && !mine {
-            return self.later(now, found.seat, Span::from_secs(1), Span::from_secs(2));
+            return self.retry_later(now, found.seat, Span::from_secs(1), Span::from_secs(2));
         }
         let owner = found.record.owner.clone();
-        if mine && self.is_bound(now, &owner, found.begun) {
-            return self.later(now, found.seat, Span::from_ms(100), Span::from_ms(200));
+        if mine && self.is_bound_by_promise(now, &owner, found.read_at) {
+            return self.retry_later(now, found.seat, Span::from_ms(100), Span::from_ms(200));
         }
-        let Some(lease) = self.base.live(now).filter(|_| !self.draining) else {
+        let Some(lease) = self
+            .own_leases
+            .live_short_lease(now)
+            .filter(|_| !self.draining)
+        else {
             return;
         };
         let claim = Claim {
@@ -398,38 +451,40 @@
             expect: found.revision,
             epoch: Epoch(found.record.epoch.0 + 2),
             lease,
-            number: self.claim_number(),
-            follows: None,
-            victim: Some(owner),
+            write_id: self.next_write_id(),
+            continued_epoch: None,
+            previous_owner: Some(owner),
         };
-        self.claim_step(now, Step::Claim(claim), out);
+        self.start_step(now, Step::Write(claim), out);
     }
 
     /// A late answer to an earlier write is no news: a later one has been sent
     /// since, and has another number.
-    fn gained(&mut self, now: Time, claim: Claim) {
-        if self.claims.sent.get(&claim.seat) != Some(&(claim.number, claim.lease)) {
+    fn on_claimed(&mut self, now: Time, claim: Claim) {
+        if self.claims.last_writes.get(&claim.seat) != Some(&(claim.write_id, claim.lease)) {
             return;
         }
-        self.claims.unsure.remove(&claim.seat);
-        self.claims.sent.remove(&claim.seat);
-        self.claims.due.remove(&claim.seat);
-        if let Some(victim) = &claim.victim {
-            self.ward_lost(victim, &claim.seat);
+        self.claims.uncertain_writes.remove(&claim.seat);
+        self.claims.last_writes.remove(&claim.seat);
+        self.claims.next_attempt.remove(&claim.seat);
+        if let Some(previous_owner) = &claim.previous_owner {
+            self.remove_owner_seat(previous_owner, &claim.seat);
         }
-        self.hints.remove(&claim.seat);
+        self.owner_hints.remove(&claim.seat);
         // The right may have ended while the write was under way.
         let still = self.ownership(now, &claim.seat).map(|right| right.epoch);
-        let follows = claim.follows.filter(|_| still == claim.follows);
+        let continued_epoch = claim
+            .continued_epoch
+            .filter(|_| still == claim.continued_epoch);
         let before = self.held.get(&claim.seat);
-        let same = |held: &&Held| held.epoch == claim.epoch || follows.is_some();
+        let same = |held: &&HeldSeat| held.epoch == claim.epoch || continued_epoch.is_some();
         let since = before.filter(same).map_or(now, |held| held.since);
-        let held = Held {
+        let held = HeldSeat {
             epoch: claim.epoch,
             since,
-            basis: Basis::Short(claim.lease),
-            cap: Time::NEVER,
-            follows,
+            basis: Basis::ShortLease(claim.lease),
+            expiry_cap: Time::NEVER,
+            continued_epoch,
         };
         self.held.insert(claim.seat, held);
     }
@@ -438,9 +493,9 @@
 impl Step {
     fn seat(&self) -> &Seat {
         match self {
-            Self::Read(seat) => seat,
-            Self::Alive(found) | Self::Node(found) => &found.seat,
-            Self::Claim(claim) => &claim.seat,
+            Self::ReadSeat(seat) => seat,
+            Self::ReadAlive(found) | Self::ReadNode(found) => &found.seat,
+            Self::Write(claim) => &claim.seat,
         }
     }
 }
--- a/src/process/lease/pair.rs
+++ b/src/process/lease/pair.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use super::{
-    Accord,
     Action,
     Basis,
     Epoch,
     Extend,
+    ExtendReply,
     Message,
+    PromiseStatus,
     Seat,
     SeatManager,
-    Standing,
     State, //
 };
 use crate::{
@@ -26,101 +26,111 @@
 };
 
 /// Time between wishes.
-const AGAIN: Span = Span::from_ms(250);
+const EXTEND_INTERVAL: Span = Span::from_ms(250);
 /// Silence of the store, beyond the time between renewals, after which the owner turns to its successor.
-const SILENCE: Span = Span::from_ms(1500);
+const STORE_SILENCE_THRESHOLD: Span = Span::from_ms(1500);
 /// Silence of the successor after which the owner names another.
-const SHUN: Span = Span::from_ms(700);
+const SUCCESSOR_SILENCE_LIMIT: Span = Span::from_ms(700);
 /// How long a node that was silent is not named again.
-const SHUNNED: Span = Span::from_secs(10);
+const AVOID_DURATION: Span = Span::from_secs(10);
 /// Silence of the successor after which the owner does not turn to it.
-const ABSENT: Span = Span::from_ms(1200);
+const SUCCESSOR_PRESENT_WITHIN: Span = Span::from_ms(1200);
 
 /// What an owner knows of its successor.
 #[derive(Clone, Debug)]
-pub(super) struct Pair {
-    successor: Instance,
+pub(super) struct SuccessorState {
+    instance: Instance,
     /// The owner lives by promises. It ends only when the successor has agreed.
     pub(super) frozen: bool,
     /// The owner's seats hold no longer than the successor's promises.
     pub(super) bound: bool,
     /// The successor has agreed that the owner's seats are free.
-    pub(super) released: bool,
-    lease: Option<Lease>,
-    frozen_short: Time,
+    pub(super) release_acknowledged: bool,
+    frozen_lease: Option<Lease>,
+    frozen_short_end: Time,
     pub(super) promise_end: Time,
-    since: Time,
-    heard: Option<(u64, Time)>,
+    named_at: Time,
+    last_reply: Option<(u64, Time)>,
     /// The last wish in which it was told that the owner is frozen.
-    told_frozen: u64,
+    last_frozen_sequence: u64,
     /// It promised nothing when asked last.
-    refused: bool,
+    promise_refused: bool,
     sequence: u64,
-    sent: BTreeMap<u64, Time>,
-    next_at: Time,
+    sent_at: BTreeMap<u64, Time>,
+    next_send: Time,
 }
 
-impl Pair {
-    fn new(successor: Instance, sequence: u64, since: Time) -> Self {
+impl SuccessorState {
+    fn new(instance: Instance, sequence: u64, named_at: Time) -> Self {
         Self {
-            successor,
+            instance,
             frozen: false,
             bound: false,
-            released: false,
-            lease: None,
-            frozen_short: Time::ZERO,
+            release_acknowledged: false,
+            frozen_lease: None,
+            frozen_short_end: Time::ZERO,
             promise_end: Time::ZERO,
-            since,
-            heard: None,
-            told_frozen: 0,
-            refused: false,
+            named_at,
+            last_reply: None,
+            last_frozen_sequence: 0,
+            promise_refused: false,
             sequence,
-            sent: BTreeMap::new(),
-            next_at: Time::ZERO,
+            sent_at: BTreeMap::new(),
+            next_send: Time::ZERO,
         }
     }
 
     /// Ends the bond when the last promise has: the successor may have begun to
     /// take the seats, and they have to be written anew.
-    pub(super) fn lapse(&mut self, now: Time) {
+    pub(super) fn expire_binding(&mut self, now: Time) {
         if self.bound && now >= self.promise_end {
             self.bound = false;
         }
     }
 
     /// Who it is.
-    pub(super) fn successor(&self) -> &Instance {
-        &self.successor
+    pub(super) fn instance(&self) -> &Instance {
+        &self.instance
     }
 
     /// Until when a seat holds that was written under this short lease, while
     /// the owner lives by promises. Renewals count no more.
-    pub(super) fn until(&self, lease: Lease, short: Time) -> Time {
-        if self.lease != Some(lease) {
+    pub(super) fn valid_until(&self, lease: Lease, short: Time) -> Time {
+        if self.frozen_lease != Some(lease) {
             return Time::ZERO;
         }
         if self.bound {
             return self.promise_end;
         }
-        self.frozen_short.min(short).max(self.promise_end)
+        self.frozen_short_end.min(short).max(self.promise_end)
     }
 }
 
 impl SeatManager {
-    pub(super) fn pair_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.pair_follow(now);
-        self.bind(now);
-        let Some(pair) = &self.pair else {
+    pub(super) fn successor_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.sync_successor(now);
+        self.bind_to_promises(now);
+        let Some(successor) = &self.successor_state else {
             return;
         };
-        let silent = self.is_cut(now);
+        let silent = self.is_store_silent(now);
         // A silent successor would promise nothing, and could not agree to thaw.
-        let there = pair.heard.is_some_and(|(_, at)| now.since(at) < ABSENT);
-        if !pair.frozen && silent && there && self.has_short() && !self.draining {
+        let is_present = successor
+            .last_reply
+            .is_some_and(|(_, at)| now.since(at) < SUCCESSOR_PRESENT_WITHIN);
+        if !successor.frozen
+            && silent
+            && is_present
+            && self.has_seat_under_short_lease()
+            && !self.draining
+        {
             self.freeze(now);
         }
-        self.outlast(now);
-        let due = self.pair.as_ref().is_some_and(|pair| now >= pair.next_at);
+        self.thaw_without_successor(now);
+        let due = self
+            .successor_state
+            .as_ref()
+            .is_some_and(|successor| now >= successor.next_send);
         if due && !self.is_drained() {
             self.send_extend(now, out);
         }
@@ -128,37 +138,49 @@
 
     /// Seats that hold in the store's name, or would hold with the next promise. One that lapsed may
     /// have another owner, so the successor must not be told of it.
-    pub(super) fn lasting(&self, now: Time) -> Vec<(Seat, Epoch)> {
-        let frozen = self.pair.as_ref().filter(|pair| pair.frozen);
-        let lease = frozen.map_or(self.base.live(now), |pair| pair.lease);
-        let basis = lease.map(Basis::Short);
+    pub(super) fn renewable_seats(&self, now: Time) -> Vec<(Seat, Epoch)> {
+        let frozen = self
+            .successor_state
+            .as_ref()
+            .filter(|successor| successor.frozen);
+        let lease = frozen.map_or(self.own_leases.live_short_lease(now), |successor| {
+            successor.frozen_lease
+        });
+        let basis = lease.map(Basis::ShortLease);
         let held = self.held.iter();
-        held.filter(|(_, held)| Some(held.basis) == basis && held.cap == Time::NEVER)
+        held.filter(|(_, held)| Some(held.basis) == basis && held.expiry_cap == Time::NEVER)
             .map(|(seat, held)| (seat.clone(), held.epoch))
             .collect()
     }
 
     /// Follows the store's record of who is the successor. A former one loses
     /// nothing that it could still use: it was never frozen, or agreed to thaw.
-    fn pair_follow(&mut self, now: Time) {
+    fn sync_successor(&mut self, now: Time) {
         if self.is_frozen() || self.draining {
             return;
         }
-        let named = self.base.successor().cloned();
-        let known = self.pair.as_ref().map(|pair| &pair.successor);
+        let named = self.own_leases.named_successor().cloned();
+        let known = self
+            .successor_state
+            .as_ref()
+            .map(|successor| &successor.instance);
         if known != named.as_ref() {
-            let sequence = self.pair.as_ref().map_or(0, |pair| pair.sequence);
-            self.unbind();
-            self.pair = named.map(|successor| Pair::new(successor, sequence, now));
+            let sequence = self
+                .successor_state
+                .as_ref()
+                .map_or(0, |successor| successor.sequence);
+            self.cap_at_last_promise();
+            self.successor_state =
+                named.map(|successor| SuccessorState::new(successor, sequence, now));
         }
     }
 
     /// A former successor may have read its name in the store before it was
     /// replaced, and may yet write. So the seats hold no longer than it promised,
     /// until they are written anew, which makes its write fail.
-    fn unbind(&mut self) {
+    fn cap_at_last_promise(&mut self) {
         let Some(end) = self
-            .pair
+            .successor_state
             .as_ref()
             .filter(|p| p.bound)
             .map(|p| p.promise_end)
@@ -166,56 +188,61 @@
             return;
         };
         for held in self.held.values_mut() {
-            if matches!(held.basis, Basis::Short(_)) {
-                held.cap = held.cap.min(end);
+            if matches!(held.basis, Basis::ShortLease(_)) {
+                held.expiry_cap = held.expiry_cap.min(end);
             }
         }
     }
 
     /// From a promise on, seats hold no longer than promises do, and a successor
     /// may take over as soon as they have ended.
-    fn bind(&mut self, now: Time) {
-        let fresh = self.setting.promise_ttl.scale(0.5);
-        if let Some(pair) = &mut self.pair
-            && !pair.frozen
-            && now + fresh < pair.promise_end
+    fn bind_to_promises(&mut self, now: Time) {
+        let half_promise = self.options.promise_ttl.scale(0.5);
+        if let Some(successor) = &mut self.successor_state
+            && !successor.frozen
+            && now + half_promise < successor.promise_end
         {
-            pair.bound = true;
+            successor.bound = true;
         }
     }
 
     /// The best node to name as successor that has not been silent of late.
-    pub(super) fn choose<'a>(
+    pub(super) fn choose_successor<'a>(
         &mut self,
         now: Time,
         successors: &'a [Instance],
     ) -> Option<&'a Instance> {
-        if let Some(pair) = &self.pair
-            && !pair.frozen
+        if let Some(successor) = &self.successor_state
+            && !successor.frozen
         {
-            let heard = pair.heard.map_or(pair.since, |(_, at)| at);
-            let bare = pair.bound && pair.refused;
-            if now.since(heard) > SHUN || bare {
-                self.shunned.insert(pair.successor.clone(), now + SHUNNED);
+            let heard = successor
+                .last_reply
+                .map_or(successor.named_at, |(_, at)| at);
+            let bare = successor.bound && successor.promise_refused;
+            if now.since(heard) > SUCCESSOR_SILENCE_LIMIT || bare {
+                self.avoided_successors
+                    .insert(successor.instance.clone(), now + AVOID_DURATION);
             }
         }
-        self.shunned.retain(|_, until| now < *until);
+        self.avoided_successors.retain(|_, until| now < *until);
         let mut others = successors.iter();
-        others.find(|instance| !self.shunned.contains_key(*instance))
+        others.find(|instance| !self.avoided_successors.contains_key(*instance))
     }
 
     /// Goes back to the store alone when the successor has been silent for so
     /// long that, had it taken over, its time would be over too: it counts from
     /// the clock that it last told, which was before this owner heard it.
-    fn outlast(&mut self, now: Time) {
-        let over = self.setting.takeover_limit + self.setting.clock_margin;
-        let live = self.base.live(now);
-        let Some(pair) = &self.pair else {
+    fn thaw_without_successor(&mut self, now: Time) {
+        let over = self.options.takeover_limit + self.options.clock_margin;
+        let live = self.own_leases.live_short_lease(now);
+        let Some(successor) = &self.successor_state else {
             return;
         };
-        let gone = pair.heard.is_none_or(|(_, at)| now.since(at) > over);
-        if pair.frozen && gone && live.is_some() {
-            self.thaw(live, Standing::Bare);
+        let gone = successor
+            .last_reply
+            .is_none_or(|(_, at)| now.since(at) > over);
+        if successor.frozen && gone && live.is_some() {
+            self.thaw(live, PromiseStatus::NoPromise);
         }
     }
 
@@ -225,112 +252,120 @@
     /// a while after the store has fallen silent, and an owner that asked its
     /// successor to thaw on that ground lost its seats when the lease ended,
     /// without a successor that knew of it. Only word from the store thaws.
-    fn is_cut(&self, now: Time) -> bool {
-        self.base.silence(now) > SILENCE + self.setting.renew_interval
+    fn is_store_silent(&self, now: Time) -> bool {
+        self.own_leases.store_silence(now) > STORE_SILENCE_THRESHOLD + self.options.renew_interval
     }
 
-    fn has_short(&self) -> bool {
-        let short = |basis: &Basis| matches!(basis, Basis::Short(_));
+    fn has_seat_under_short_lease(&self) -> bool {
+        let short = |basis: &Basis| matches!(basis, Basis::ShortLease(_));
         self.held.values().any(|held| short(&held.basis))
     }
 
     fn freeze(&mut self, now: Time) {
         let lease = self.held.values().find_map(|held| match held.basis {
-            Basis::Short(lease) => Some(lease),
-            Basis::Solo(_) => None,
+            Basis::ShortLease(lease) => Some(lease),
+            Basis::Takeover(_) => None,
         });
-        let end = lease.and_then(|lease| self.base.short_end(lease));
-        let Some(pair) = &mut self.pair else {
+        let end = lease.and_then(|lease| self.own_leases.short_end(lease));
+        let Some(successor) = &mut self.successor_state else {
             return;
         };
-        pair.frozen = true;
-        pair.lease = lease;
-        pair.frozen_short = end.unwrap_or(Time::ZERO);
-        pair.next_at = now;
+        successor.frozen = true;
+        successor.frozen_lease = lease;
+        successor.frozen_short_end = end.unwrap_or(Time::ZERO);
+        successor.next_send = now;
     }
 
     fn send_extend(&mut self, now: Time, out: &mut Vec<Action>) {
-        let live = self.base.live(now).is_some() && !self.is_cut(now);
-        let long = self.base.long_end();
-        let short = self.base.short_left(now);
+        let live = self.own_leases.live_short_lease(now).is_some() && !self.is_store_silent(now);
+        let long = self.own_leases.long_end();
+        let short = self.own_leases.short_left(now);
         let seats = match self.draining {
-            true => self.released.clone(),
-            false => self.lasting(now),
+            true => self.released_seats.clone(),
+            false => self.renewable_seats(now),
         };
-        let (owner, draining) = (self.me.clone(), self.draining);
-        let Some(pair) = &mut self.pair else {
+        let (owner, draining) = (self.local.clone(), self.draining);
+        let Some(successor) = &mut self.successor_state else {
             return;
         };
-        pair.sequence += 1;
-        pair.next_at = now + AGAIN;
-        pair.sent.insert(pair.sequence, now);
-        pair.sent
+        successor.sequence += 1;
+        successor.next_send = now + EXTEND_INTERVAL;
+        successor.sent_at.insert(successor.sequence, now);
+        successor
+            .sent_at
             .retain(|_, sent| now.since(*sent) < Span::from_secs(10));
-        let state = match (draining, pair.frozen, live) {
-            (true, _, _) => State::Over,
-            (_, false, _) if pair.bound => State::Bound,
-            (_, false, _) => State::Calm,
+        let state = match (draining, successor.frozen, live) {
+            (true, _, _) => State::Released,
+            (_, false, _) if successor.bound => State::Bound,
+            (_, false, _) => State::Normal,
             (_, true, false) => State::Frozen,
             (_, true, true) => State::Thawing,
         };
         if state == State::Frozen {
-            pair.told_frozen = pair.sequence;
+            successor.last_frozen_sequence = successor.sequence;
         }
         let extend = Extend {
             owner,
-            sequence: pair.sequence,
+            sequence: successor.sequence,
             state,
-            short: match pair.bound {
+            short_left: match successor.bound {
                 true => Span::ZERO,
-                false => short.max(now.until(pair.frozen_short)),
+                false => short.max(now.until(successor.frozen_short_end)),
             },
-            long: pair.heard.map_or(Span::ZERO, |(_, at)| long.since(at)),
-            heard: pair.heard.map(|(clock, _)| clock),
+            long_left: successor
+                .last_reply
+                .map_or(Span::ZERO, |(_, at)| long.since(at)),
+            echoed_clock: successor.last_reply.map(|(clock, _)| clock),
             seats,
         };
         out.push(Action::Send(
-            pair.successor.clone(),
+            successor.instance.clone(),
             Message::Extend(extend),
         ));
     }
 
     /// Tells the successor that all seats are free, until it has heard it.
-    pub(super) fn pair_over(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.pair.is_some() {
+    pub(super) fn send_release(&mut self, now: Time, out: &mut Vec<Action>) {
+        if self.successor_state.is_some() {
             self.send_extend(now, out);
         }
     }
 
-    pub(super) fn accord(&mut self, now: Time, accord: Accord) {
-        let (promise, draining) = (self.setting.promise_ttl, self.draining);
-        let live = self.base.live(now);
-        let mine = accord.life == self.me.life;
-        let Some(pair) = &mut self.pair else {
+    pub(super) fn on_reply(&mut self, now: Time, reply: ExtendReply) {
+        let (promise, draining) = (self.options.promise_ttl, self.draining);
+        let live = self.own_leases.live_short_lease(now);
+        let mine = reply.life == self.local.life;
+        let Some(successor) = &mut self.successor_state else {
             return;
         };
-        if !mine || accord.from != pair.successor {
+        if !mine || reply.from != successor.instance {
             return;
         }
-        let Some(sent) = pair.sent.remove(&accord.sequence) else {
+        let Some(sent) = successor.sent_at.remove(&reply.sequence) else {
             return;
         };
-        if pair.heard.is_none_or(|(clock, _)| accord.clock > clock) {
-            pair.heard = Some((accord.clock, now));
+        if successor
+            .last_reply
+            .is_none_or(|(clock, _)| reply.clock > clock)
+        {
+            successor.last_reply = Some((reply.clock, now));
         }
         if draining {
-            pair.released |= accord.state == State::Over;
+            successor.release_acknowledged |= reply.state == State::Released;
             return;
         }
-        pair.refused = accord.standing == Standing::Bare;
-        if accord.standing == Standing::Promise {
-            pair.promise_end = pair.promise_end.max(sent + promise);
+        successor.promise_refused = reply.promise_status == PromiseStatus::NoPromise;
+        if reply.promise_status == PromiseStatus::Promise {
+            successor.promise_end = successor.promise_end.max(sent + promise);
         }
-        match (accord.standing, accord.state) {
-            (Standing::Taken, _) => self.dispossess(now),
+        match (reply.promise_status, reply.state) {
+            (PromiseStatus::TakenOver, _) => self.yield_to_successor(now),
             // An agreement to thaw that was overtaken by another "frozen" is void:
             // the successor may go alone on the later word.
-            (standing, State::Thawing) if pair.frozen && accord.sequence > pair.told_frozen => {
-                self.thaw(live, standing);
+            (promise_status, State::Thawing)
+                if successor.frozen && reply.sequence > successor.last_frozen_sequence =>
+            {
+                self.thaw(live, promise_status);
             }
             _ => {}
         }
@@ -338,24 +373,24 @@
 
     /// The successor no longer believes that it alone decides. If it promised
     /// once more, nobody has taken a seat, and they go on under the new lease.
-    fn thaw(&mut self, live: Option<Lease>, standing: Standing) {
+    fn thaw(&mut self, live: Option<Lease>, promise_status: PromiseStatus) {
         let Some(lease) = live else {
             return;
         };
-        let Some(pair) = &mut self.pair else {
+        let Some(successor) = &mut self.successor_state else {
             return;
         };
-        let old = pair.lease;
-        pair.frozen = false;
-        let kept = standing == Standing::Promise;
-        pair.bound = kept && pair.bound;
+        let old = successor.frozen_lease;
+        successor.frozen = false;
+        let kept = promise_status == PromiseStatus::Promise;
+        successor.bound = kept && successor.bound;
         // The old lease may still be the new one, so without a promise the seats
         // go at once: the successor may have taken them.
-        let old = old.map(Basis::Short);
+        let old = old.map(Basis::ShortLease);
         self.held.retain(|_, held| kept || old != Some(held.basis));
         for held in self.held.values_mut() {
             if old == Some(held.basis) {
-                held.basis = Basis::Short(lease);
+                held.basis = Basis::ShortLease(lease);
             }
         }
     }
@@ -363,13 +398,14 @@
     /// The successor has taken over without the store. This life owns nothing any
     /// more, and leaves what the store has under its name to the successor for as
     /// long as that may go on alone.
-    fn dispossess(&mut self, now: Time) {
+    fn yield_to_successor(&mut self, now: Time) {
         self.held
-            .retain(|_, held| matches!(held.basis, Basis::Solo(_)));
-        self.claims.barred = now + self.setting.takeover_limit + self.setting.clock_margin;
-        if let Some(pair) = &mut self.pair {
-            pair.frozen = false;
-            pair.bound = false;
+            .retain(|_, held| matches!(held.basis, Basis::Takeover(_)));
+        self.claims.own_records_barred_until =
+            now + self.options.takeover_limit + self.options.clock_margin;
+        if let Some(successor) = &mut self.successor_state {
+            successor.frozen = false;
+            successor.bound = false;
         }
     }
 }
--- a/src/process/lease/ward.rs
+++ b/src/process/lease/ward.rs
@@ -2,18 +2,18 @@
 //! over when the owner can no longer live by what was promised.
 
 use super::{
-    Accord,
     Action,
     Basis,
     Epoch,
     Extend,
-    Held,
+    ExtendReply,
+    HeldSeat,
     Message,
+    NodeLife,
     Options,
-    Party,
+    PromiseStatus,
     Seat,
     SeatManager,
-    Standing,
     State, //
 };
 use crate::clock::{
@@ -22,140 +22,147 @@
 };
 
 /// Silence of an owner after which its successor asks the store.
-const SILENCE: Span = Span::from_ms(1200);
+const OWNER_SILENCE_THRESHOLD: Span = Span::from_ms(1200);
 
 /// What a successor knows of an owner.
 #[derive(Clone, Debug)]
-pub(super) struct Ward {
+pub(super) struct OwnerState {
     state: State,
     sequence: u64,
-    last: Time,
+    last_heard: Time,
     /// When the last promise was given, and until when it lasts.
-    promised: Option<Time>,
+    promised_at: Option<Time>,
     promise_end: Time,
-    short_end: Time,
+    short_lease_end: Time,
     /// Until when it may go on alone.
-    solo_end: Option<Time>,
+    takeover_end: Option<Time>,
     seats: Vec<(Seat, Epoch)>,
     /// An earlier life of this successor may have taken over, or this one has
     /// taken seats in the store: no promise until the owner is calm again.
-    bare: bool,
+    promise_barred: bool,
     /// Taken over without the store.
-    solo: bool,
+    taken_over: bool,
 }
 
-impl Ward {
+impl OwnerState {
     fn new() -> Self {
         Self {
-            state: State::Calm,
+            state: State::Normal,
             sequence: 0,
-            last: Time::ZERO,
-            promised: None,
+            last_heard: Time::ZERO,
+            promised_at: None,
             promise_end: Time::ZERO,
-            short_end: Time::ZERO,
-            solo_end: None,
+            short_lease_end: Time::ZERO,
+            takeover_end: None,
             seats: Vec::new(),
-            bare: true,
-            solo: false,
+            promise_barred: true,
+            taken_over: false,
         }
     }
 
-    fn hear(&mut self, now: Time, extend: &Extend, margin: Span, solo: Span) {
+    fn update(&mut self, now: Time, extend: &Extend, margin: Span, solo: Span) {
         self.sequence = extend.sequence;
         self.state = extend.state;
-        self.last = now;
-        self.short_end = now + extend.short + margin;
+        self.last_heard = now;
+        self.short_lease_end = now + extend.short_left + margin;
         // The owner counted its long lease from when it had heard this clock
         // stand at `heard`, so this never lasts longer than the store's count,
         // however long the message was under way.
-        let heard = extend.heard.map(Time::from_ms);
-        self.solo_end = heard.map(|at| at + extend.long.min(solo));
+        let echoed = extend.echoed_clock.map(Time::from_ms);
+        self.takeover_end = echoed.map(|at| at + extend.long_left.min(solo));
         self.seats.clone_from(&extend.seats);
     }
 
     /// Whether it has taken over without the store and its time is not over.
-    fn is_alone(&self, now: Time) -> bool {
-        self.solo && self.solo_end.is_some_and(|end| now < end)
+    fn is_takeover_active(&self, now: Time) -> bool {
+        self.taken_over && self.takeover_end.is_some_and(|end| now < end)
     }
 
     /// Whether the owner's right has certainly ended, as far as this successor
     /// promised and was told.
-    fn is_over(&self, now: Time) -> bool {
+    fn has_ended(&self, now: Time) -> bool {
         match self.state {
-            State::Over => true,
-            State::Frozen => now > self.promise_end && now > self.short_end,
-            State::Calm | State::Bound | State::Thawing => false,
+            State::Released => true,
+            State::Frozen => now > self.promise_end && now > self.short_lease_end,
+            State::Normal | State::Bound | State::Thawing => false,
         }
     }
 }
 
 impl SeatManager {
-    pub(super) fn extend(&mut self, now: Time, extend: Extend, out: &mut Vec<Action>) {
+    pub(super) fn on_extend(&mut self, now: Time, extend: Extend, out: &mut Vec<Action>) {
         let Options {
             clock_margin: margin,
             promise_ttl: promise,
             takeover_limit: solo,
             ..
-        } = self.setting;
-        let claiming = self.claims.is_against(&extend.owner);
+        } = self.options;
+        let claiming = self.claims.may_write_against(&extend.owner);
         let draining = self.draining;
-        let ward = self
-            .wards
+        let owner_state = self
+            .owners
             .entry(extend.owner.clone())
-            .or_insert_with(Ward::new);
-        if extend.sequence <= ward.sequence {
+            .or_insert_with(OwnerState::new);
+        if extend.sequence <= owner_state.sequence {
             return;
         }
-        let mut standing = Standing::Bare;
-        if ward.is_alone(now) {
-            standing = Standing::Taken;
-            ward.sequence = extend.sequence;
-            ward.last = now;
+        let mut promise_status = PromiseStatus::NoPromise;
+        if owner_state.is_takeover_active(now) {
+            promise_status = PromiseStatus::TakenOver;
+            owner_state.sequence = extend.sequence;
+            owner_state.last_heard = now;
         } else {
-            ward.hear(now, &extend, margin, solo);
+            owner_state.update(now, &extend, margin, solo);
             // While an own write against this owner may be under way, there is
             // no promise: it could take effect afterwards.
-            if !ward.bare && !claiming && !draining && extend.state != State::Over {
-                standing = Standing::Promise;
-                ward.promised = Some(now);
-                ward.promise_end = now + promise + margin;
+            if !owner_state.promise_barred
+                && !claiming
+                && !draining
+                && extend.state != State::Released
+            {
+                promise_status = PromiseStatus::Promise;
+                owner_state.promised_at = Some(now);
+                owner_state.promise_end = now + promise + margin;
             }
-            if extend.state == State::Calm && !claiming {
-                ward.bare = false;
+            if extend.state == State::Normal && !claiming {
+                owner_state.promise_barred = false;
             }
         }
-        let accord = Accord {
-            from: self.me.instance.clone(),
+        let reply = ExtendReply {
+            from: self.local.instance.clone(),
             life: extend.owner.life,
             sequence: extend.sequence,
             state: extend.state,
-            standing,
+            promise_status,
             clock: now.as_ms(),
         };
-        out.push(Action::Send(extend.owner.instance, Message::Accord(accord)));
+        out.push(Action::Send(extend.owner.instance, Message::Reply(reply)));
     }
 
     /// Takes over without the store what can have no other owner.
-    pub(super) fn ward_tick(&mut self, now: Time) {
+    pub(super) fn owners_tick(&mut self, now: Time) {
         if self.draining {
             return;
         }
-        for (owner, ward) in &mut self.wards {
-            let until = ward.solo_end.filter(|until| now < *until);
-            let (false, Some(until)) = (ward.solo, until) else {
+        for (owner, owner_state) in &mut self.owners {
+            let until = owner_state.takeover_end.filter(|until| now < *until);
+            let (false, Some(until)) = (owner_state.taken_over, until) else {
                 continue;
             };
-            if ward.bare || !ward.is_over(now) || self.claims.is_against(owner) {
+            if owner_state.promise_barred
+                || !owner_state.has_ended(now)
+                || self.claims.may_write_against(owner)
+            {
                 continue;
             }
-            ward.solo = true;
-            for (seat, epoch) in &ward.seats {
-                let held = Held {
+            owner_state.taken_over = true;
+            for (seat, epoch) in &owner_state.seats {
+                let held = HeldSeat {
                     epoch: Epoch(epoch.0 + 1),
                     since: now,
-                    basis: Basis::Solo(until),
-                    cap: until,
-                    follows: None,
+                    basis: Basis::Takeover(until),
+                    expiry_cap: until,
+                    continued_epoch: None,
                 };
                 // The owner may have lost a seat to this node before.
                 let newer = self.held.get(seat).is_none_or(|own| own.epoch < held.epoch);
@@ -164,17 +171,21 @@
                 }
             }
         }
-        let keep = self.setting.long_ttl;
-        self.wards
-            .retain(|_, ward| !ward.seats.is_empty() || now.since(ward.last) < keep.scale(0.01));
+        let keep = self.options.long_ttl;
+        self.owners.retain(|_, owner_state| {
+            !owner_state.seats.is_empty() || now.since(owner_state.last_heard) < keep.scale(0.01)
+        });
     }
 
     /// Seats of owners that have fallen silent.
-    pub(super) fn orphans(&self, now: Time) -> Vec<Seat> {
-        let silent = |ward: &&Ward| now.since(ward.last) > SILENCE || ward.is_alone(now);
-        let wards = self.wards.values().filter(silent);
-        wards
-            .flat_map(|ward| ward.seats.iter().map(|(seat, _)| seat.clone()))
+    pub(super) fn seats_of_silent_owners(&self, now: Time) -> Vec<Seat> {
+        let silent = |owner_state: &&OwnerState| {
+            now.since(owner_state.last_heard) > OWNER_SILENCE_THRESHOLD
+                || owner_state.is_takeover_active(now)
+        };
+        let owner_states = self.owners.values().filter(silent);
+        owner_states
+            .flat_map(|owner_state| owner_state.seats.iter().map(|(seat, _)| seat.clone()))
             .collect()
     }
 
@@ -182,75 +193,104 @@
     /// time alone is over, the owner may have come back through the store.
     /// What the owner wrote in the store afterwards, of other seats that it took
     /// over itself, is not meant.
-    pub(super) fn succeeds(&self, now: Time, owner: &Party, seat: &Seat, epoch: Epoch) -> bool {
-        let listed = |(name, number): &(Seat, Epoch)| name == seat && *number == epoch;
-        let ward = self.wards.get(owner);
-        ward.is_some_and(|ward| ward.is_alone(now) && ward.seats.iter().any(listed))
+    pub(super) fn has_taken_over_seat(
+        &self,
+        now: Time,
+        owner: &NodeLife,
+        seat: &Seat,
+        epoch: Epoch,
+    ) -> bool {
+        let listed = |(listed_seat, listed_epoch): &(Seat, Epoch)| {
+            listed_seat == seat && *listed_epoch == epoch
+        };
+        let owner_state = self.owners.get(owner);
+        owner_state.is_some_and(|owner_state| {
+            owner_state.is_takeover_active(now) && owner_state.seats.iter().any(listed)
+        })
     }
 
     /// Whether a promise, or one of an earlier life, forbids to take over from
     /// this owner on what was read of it at `read`.
-    pub(super) fn is_bound(&self, now: Time, owner: &Party, read: Time) -> bool {
-        let Some(ward) = self.wards.get(owner) else {
-            let born = self.born.unwrap_or(now);
-            return now < born + self.setting.promise_ttl + self.setting.short_ttl;
+    pub(super) fn is_bound_by_promise(&self, now: Time, owner: &NodeLife, read: Time) -> bool {
+        let Some(owner_state) = self.owners.get(owner) else {
+            let born = self.started_at.unwrap_or(now);
+            return now < born + self.options.promise_ttl + self.options.short_ttl;
         };
-        let promised = ward.promised.is_some_and(|promised| promised >= read);
-        promised || now <= ward.promise_end
+        let promised = owner_state
+            .promised_at
+            .is_some_and(|promised| promised >= read);
+        promised || now <= owner_state.promise_end
     }
 
     /// Notes that a write against the owner is about to be sent. Should its
     /// answer be lost, it may take effect much later, so there is no promise
     /// until the owner has written its seats anew and says that it is calm.
-    pub(super) fn ward_doubt(&mut self, owner: &Party) {
-        if let Some(ward) = self.wards.get_mut(owner) {
-            ward.bare = true;
+    pub(super) fn bar_promises(&mut self, owner: &NodeLife) {
+        if let Some(owner_state) = self.owners.get_mut(owner) {
+            owner_state.promise_barred = true;
         }
     }
 
     /// Notes that a seat of the owner is this node's now, or another's.
-    pub(super) fn ward_lost(&mut self, owner: &Party, seat: &Seat) {
-        if let Some(ward) = self.wards.get_mut(owner) {
-            ward.bare = true;
-            ward.seats.retain(|(name, _)| name != seat);
+    pub(super) fn remove_owner_seat(&mut self, owner: &NodeLife, seat: &Seat) {
+        if let Some(owner_state) = self.owners.get_mut(owner) {
+            owner_state.promise_barred = true;
+            owner_state
+                .seats
+                .retain(|(listed_seat, _)| listed_seat != seat);
         }
     }
 
     /// Whether this node is the successor of the seat's owner.
     pub fn is_successor_for(&self, seat: &Seat) -> bool {
-        let of = |ward: &Ward| ward.seats.iter().any(|(name, _)| name == seat);
-        self.wards.values().any(of)
+        let of = |owner_state: &OwnerState| {
+            owner_state
+                .seats
+                .iter()
+                .any(|(listed_seat, _)| listed_seat == seat)
+        };
+        self.owners.values().any(of)
     }
 
     /// Whether the owner's seat held no longer than promises, and they are over. An
     /// owner that writes the seat anew gives it another number.
-    pub(super) fn is_free(
+    pub(super) fn has_bound_seat_ended(
         &self,
         now: Time,
-        owner: &Party,
+        owner: &NodeLife,
         seat: &Seat,
         epoch: Epoch,
         read: Time,
     ) -> bool {
-        let listed = |(name, number): &(Seat, Epoch)| name == seat && *number == epoch;
-        let bound = |ward: &&Ward| matches!(ward.state, State::Bound | State::Frozen);
-        let ward = self.wards.get(owner).filter(bound);
-        ward.is_some_and(|ward| ward.seats.iter().any(listed) && now > ward.short_end)
-            && !self.is_bound(now, owner, read)
+        let listed = |(listed_seat, listed_epoch): &(Seat, Epoch)| {
+            listed_seat == seat && *listed_epoch == epoch
+        };
+        let bound =
+            |owner_state: &&OwnerState| matches!(owner_state.state, State::Bound | State::Frozen);
+        let owner_state = self.owners.get(owner).filter(bound);
+        owner_state.is_some_and(|owner_state| {
+            owner_state.seats.iter().any(listed) && now > owner_state.short_lease_end
+        }) && !self.is_bound_by_promise(now, owner, read)
     }
 
     /// Seats of the owner, and how long it has been silent.
-    pub(super) fn ward_seats(&self, now: Time, owner: &Party) -> Option<(Vec<Seat>, Span)> {
-        let ward = self.wards.get(owner)?;
-        let seats = ward.seats.iter().map(|(seat, _)| seat.clone()).collect();
-        Some((seats, now.since(ward.last)))
+    pub(super) fn owner_seats(&self, now: Time, owner: &NodeLife) -> Option<(Vec<Seat>, Span)> {
+        let owner_state = self.owners.get(owner)?;
+        let seats = owner_state
+            .seats
+            .iter()
+            .map(|(seat, _)| seat.clone())
+            .collect();
+        Some((seats, now.since(owner_state.last_heard)))
     }
 
     /// Forgets a seat in wards whose owners have lost it.
-    pub(super) fn ward_forget(&mut self, seat: &Seat, owner: &Party) {
-        for (party, ward) in &mut self.wards {
+    pub(super) fn forget_seat_of_others(&mut self, seat: &Seat, owner: &NodeLife) {
+        for (party, owner_state) in &mut self.owners {
             if party != owner {
-                ward.seats.retain(|(name, _)| name != seat);
+                owner_state
+                    .seats
+                    .retain(|(listed_seat, _)| listed_seat != seat);
             }
         }
     }
