--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -166,7 +166,7 @@
     /// Finds members and configuration in the store, from the beginning of the
     /// node on, and shares rates without owners.
     pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
-        self.quota.lend(Bank::new(self.identity.peer.clone()));
+        self.quota.use_bank(Bank::new(self.identity.peer.clone()));
         self.proxy.set_cold_tolerance(bounds.cold_excess);
         self.listed = Some(Listed {
             bounds,
@@ -306,7 +306,7 @@
         let bounds = listed.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.token_server_candidates(now));
+            bank.update_nodes(now, until, &listed.directory.token_server_candidates(now));
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
@@ -370,7 +370,7 @@
         if snapshot.version != self.snapshot.version {
             out.push(Action::Log(LogEvent::ConfigAdopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
-                bank.teams(now, &snapshot.teams.teams);
+                bank.set_teams(now, &snapshot.teams.teams);
             }
         }
         let age = self.discovered_config_age(now);
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Seat, //
-        SeatManager,
+        Seat,
+        SeatManager, //
     },
     message::Message,
     quota::{
@@ -92,10 +92,10 @@
     /// Shares rates in another way, and goes by other times of leases, from the
     /// beginning of the node on.
     pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
-        self.quota.switch(mode);
+        self.quota.set_mode(mode);
         self.rights.keeper.configure(setting);
-        if let Mode::Standing(percent, _) = mode {
-            self.rights.owner.reserve(percent);
+        if let Mode::GrantsAndFixedShares(percent, _) = mode {
+            self.rights.owner.withhold_percent(percent);
         }
     }
 
@@ -110,7 +110,7 @@
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
             self.rights.directory.plan(plan.records());
             self.rights.plan = plan;
-            self.quota.adopt(now, &self.snapshot.teams.teams);
+            self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
         let mut actions = Vec::new();
         let Rights { keeper, plan, .. } = &mut self.rights;
@@ -164,7 +164,7 @@
         let owner = &mut self.rights.owner;
         let accounts = self.rights.accounts.get_or_insert_with(|| {
             owner.advance(now);
-            owner.accounts()
+            owner.settled_buckets()
         });
         let accounts = accounts.clone();
         let successor = self.rights.keeper.successor().cloned();
@@ -248,10 +248,10 @@
                 number,
                 reply,
             } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
+            quota::Message::Buckets(accounts) => self.rights.owner.inherit_buckets(accounts),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
-                    self.rights.owner.returned(now, row, &returns);
+                    self.rights.owner.on_return(now, row, &returns);
                 }
             }
         }
@@ -265,7 +265,7 @@
         let row = self.snapshot.teams.team(&ask.team);
         match (right, row) {
             (Some(right), Some(row)) if rights.leaving.is_none() => {
-                rights.owner.ask(now, right, row, ask)
+                rights.owner.on_ask(now, right, row, ask)
             }
             _ => {
                 rights.keeper.note_unreachable_owner(now, &seat);
@@ -302,7 +302,7 @@
                 self.rights.keeper.set_owner_hint(seat, from);
             }
         }
-        if self.quota.reply(now, &team, number, reply) {
+        if self.quota.on_reply(now, &team, number, reply) {
             self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.rights_send(now, out);
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -71,7 +71,7 @@
             target: call.target,
             service_time: Span::from_ms(usual as u64),
             earliest: match code {
-                Code::RateExceeded => world.quota.wait(now, &call.context.team),
+                Code::RateExceeded => world.quota.time_until_token(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
@@ -186,7 +186,9 @@
         self.hints
             .record(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
-        world.quota.heard(now, peer, report.life, report.clock);
+        world
+            .quota
+            .record_peer_clock(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
             world.counts.add(Counter::Late);
