--- a/src/process/directory.rs
+++ b/src/process/directory.rs
@@ -1,14 +1,14 @@
-//! The nodes of the fleet, as the store lists them.
+//! Membership through records in the store.
 //!
 //! Every node keeps a record of itself in the store, under a lease that it
-//! renews, and follows the records of the others. Nothing else makes nodes find
-//! each other, and nobody gossips: a node that dies is noticed by its links at
-//! once and by its lease later.
+//! renews, and watches the records of all other nodes. This is the only
+//! discovery mechanism; there is no gossip. When a node dies, its peers notice
+//! the broken links at once and the expired lease later.
 //!
-//! Guards against taking an outage of the store for the death of the fleet:
-//! leases may lapse while the store is away, so that all records vanish at
-//! once. A member whose record is gone stays for [`GRACE`], in which a living
-//! one enters itself again.
+//! A store outage must not look like the death of the whole fleet: leases may
+//! expire while the store is unavailable, so that all records vanish at once. A
+//! member whose record is gone is therefore kept for [`LAPSE_GRACE`], which gives a
+//! live node time to register again.
 
 mod listing;
 mod registration;
@@ -35,143 +35,145 @@
     },
 };
 
-/// How the names of all records begin.
+/// Key prefix of all member records.
 pub const RECORD_PREFIX: &str = "bluebellswitch/nodes/";
 
-/// How long a record outlives its last renewal. Longer than
-/// [`CONFIRMED`], so that whoever still counts itself a member is one for all.
-pub const TTL: Span = Span::from_secs(6);
-/// The time between two renewals. Two may be lost before anything lapses.
-const RENEWAL: Span = Span::from_ms(2000);
-/// How long after a renewal was sent its node still counts itself a member.
-pub const CONFIRMED: Span = Span::from_secs(4);
-/// How long a member stays whose record is gone: after an outage of the store
-/// a living one is back within two seconds.
-const GRACE: Span = Span::from_secs(4);
-/// How long a question waits for changes. It bounds how long a silent
-/// connection can hide them.
-const WAIT: Span = Span::from_ms(900);
-/// The time after changes before the next question. Nodes come and go together:
-/// what changes meanwhile comes with one answer, where every node would else ask
-/// again for each single change.
-const SETTLE: Span = Span::from_ms(200);
-/// The time between two calls while the store does not answer.
-const FIRST_PAUSE: Span = Span::from_ms(50);
-const LONGEST_PAUSE: Span = Span::from_ms(800);
-
-/// How long a node that begins waits for the record of its former life. A store
-/// that is slow answers within a quarter of a second.
-const FORMER: Span = Span::from_ms(300);
-
-/// What changed among the members.
+/// Lease duration of a record. It is longer than [`MEMBERSHIP_VALIDITY`], so that a node
+/// that still considers itself a member is one in the view of all others.
+pub const RECORD_TTL: Span = Span::from_secs(6);
+/// Interval between lease renewals. Two consecutive renewals may be lost before
+/// the lease expires.
+const RENEWAL_INTERVAL: Span = Span::from_ms(2000);
+/// How long a node considers itself a member after it sent its last successful
+/// renewal.
+pub const MEMBERSHIP_VALIDITY: Span = Span::from_secs(4);
+/// How long a member is kept after its record has vanished. After a store
+/// outage a live node has registered again within two seconds.
+const LAPSE_GRACE: Span = Span::from_secs(4);
+/// How long a watch call waits for changes. This bounds how long a dead
+/// connection can hide changes.
+const WATCH_TIMEOUT: Span = Span::from_ms(900);
+/// Delay between an answer with changes and the next watch call. Nodes tend to
+/// join and leave in groups: the delay collects such changes in one answer.
+/// Without it every node would call the store again for each single change.
+const WATCH_SETTLE_DELAY: Span = Span::from_ms(200);
+/// First and longest delay between calls while the store does not answer.
+const MIN_BACKOFF: Span = Span::from_ms(50);
+const MAX_BACKOFF: Span = Span::from_ms(800);
+
+/// How long a starting node waits for the record of its previous incarnation. A
+/// slow store answers within 250 ms.
+const PREVIOUS_RECORD_TIMEOUT: Span = Span::from_ms(300);
+
+/// A change of the set of members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member is there, or has changed.
+    /// A member was added, or its record changed.
     Updated(Peer),
-    /// A member is gone.
+    /// A member was removed.
     Removed(Instance),
 }
 
-/// What a call to the store was for.
+/// The purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// To learn of the others.
+    /// Watches the records of the other members.
     Watch,
-    /// To keep the own record.
+    /// Maintains this node's own record.
     Register,
 }
 
-/// A task that calls the store, one call at a time.
+/// Schedules a series of store calls of which one at most is in flight.
 #[derive(Clone, Copy, Debug)]
-struct Task {
-    open: bool,
-    sent: Time,
-    next: Time,
-    pause: Span,
+struct CallSchedule {
+    in_flight: bool,
+    sent_at: Time,
+    next_at: Time,
+    backoff: Span,
 }
 
-impl Task {
+impl CallSchedule {
     const fn new() -> Self {
         Self {
-            open: false,
-            sent: Time::ZERO,
-            next: Time::ZERO,
-            pause: FIRST_PAUSE,
+            in_flight: false,
+            sent_at: Time::ZERO,
+            next_at: Time::ZERO,
+            backoff: MIN_BACKOFF,
         }
     }
 
     fn due(&self) -> Time {
-        match self.open {
+        match self.in_flight {
             true => Time::NEVER,
-            false => self.next,
+            false => self.next_at,
         }
     }
 
     /// Whether the last call failed.
     fn is_failing(&self) -> bool {
-        self.pause > FIRST_PAUSE
+        self.backoff > MIN_BACKOFF
     }
 
     fn begin(&mut self, now: Time) {
-        self.open = true;
-        self.sent = now;
+        self.in_flight = true;
+        self.sent_at = now;
     }
 
     fn succeed(&mut self, next: Time) {
-        self.open = false;
-        self.next = next;
-        self.pause = FIRST_PAUSE;
+        self.in_flight = false;
+        self.next_at = next;
+        self.backoff = MIN_BACKOFF;
     }
 
     fn fail(&mut self, now: Time) {
-        self.open = false;
-        self.next = now + self.pause;
-        self.pause = Span::from_ms(self.pause.as_ms() * 2).min(LONGEST_PAUSE);
+        self.in_flight = false;
+        self.next_at = now + self.backoff;
+        self.backoff = Span::from_ms(self.backoff.as_ms() * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Since when all others have counted this node as a member.
+/// Since when all other nodes have considered this node a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Counted {
-    /// Since before this life began: its first write replaced the record of the
-    /// life before, which had not lapsed.
-    Always,
-    /// Since the record was written.
-    Since(Time),
+enum MemberSince {
+    /// Since before this process started: its first write replaced the record of
+    /// its previous incarnation, which had not expired.
+    BeforeStart,
+    /// Since the record was written at this time.
+    At(Time),
 }
 
-/// What keeps the own record.
+/// Maintains this node's own record.
 #[derive(Clone, Debug)]
 struct Registration {
-    task: Task,
+    task: CallSchedule,
     lease: Option<Lease>,
-    /// The revision of the record that the first write of this life replaces;
-    /// zero for none. Nothing once that write has taken effect.
-    former: Option<Revision>,
-    /// The record as the store has it, as far as this node knows.
-    written: Option<Peer>,
-    writing: Option<Peer>,
-    confirmed: Option<Time>,
-    counted: Option<Counted>,
+    /// The revision that the first write of this process expects to replace; zero
+    /// if there is no record. `None` once that write has taken effect.
+    expected_revision: Option<Revision>,
+    /// The record in the store, as far as this node knows.
+    stored: Option<Peer>,
+    pending_write: Option<Peer>,
+    confirmed_at: Option<Time>,
+    member_since: Option<MemberSince>,
 }
 
-/// What follows the others' records.
+/// Watches the records of all members.
 #[derive(Clone, Debug)]
 struct Listing {
-    task: Task,
-    after: Option<Revision>,
+    task: CallSchedule,
+    revision: Option<Revision>,
     members: BTreeMap<Instance, Peer>,
-    lapsed: BTreeMap<Instance, Time>,
-    /// When the question was sent whose answer last showed that a newcomer had no
-    /// record yet.
-    joined: BTreeMap<Instance, Time>,
-    /// When the newest question was sent that was answered.
-    viewed: Option<Time>,
-    /// Members whose record was overwritten by one of an earlier life.
+    lapsed_at: BTreeMap<Instance, Time>,
+    /// For each recent member, the send time of the last watch call whose answer
+    /// did not contain its record yet.
+    joined_at: BTreeMap<Instance, Time>,
+    /// Send time of the newest watch call that was answered.
+    viewed_at: Option<Time>,
+    /// Members whose record was overwritten by one of an earlier incarnation.
     overwritten: Vec<Instance>,
 }
 
-/// This node's part in the listing.
+/// This node's registration and its view of the other members.
 #[derive(Clone, Debug)]
 pub struct Directory {
     me: Peer,
@@ -181,174 +183,180 @@
 }
 
 impl Directory {
-    /// A directory that knows only this node.
+    /// Creates a directory that has no lease and no view of the members yet.
     pub fn new(me: Peer) -> Self {
         Self {
             me,
             registration: Registration {
-                task: Task::new(),
+                task: CallSchedule::new(),
                 lease: None,
-                former: Some(Revision::default()),
-                written: None,
-                writing: None,
-                confirmed: None,
-                counted: None,
+                expected_revision: Some(Revision::default()),
+                stored: None,
+                pending_write: None,
+                confirmed_at: None,
+                member_since: None,
             },
             listing: Listing {
-                task: Task::new(),
-                after: None,
+                task: CallSchedule::new(),
+                revision: None,
                 members: BTreeMap::new(),
-                lapsed: BTreeMap::new(),
-                joined: BTreeMap::new(),
-                viewed: None,
+                lapsed_at: BTreeMap::new(),
+                joined_at: BTreeMap::new(),
+                viewed_at: None,
                 overwritten: Vec::new(),
             },
             leaving: false,
         }
     }
 
-    /// Changes what this node says of itself.
+    /// Replaces this node's own record.
     pub fn announce(&mut self, now: Time, me: Peer) {
         if self.me != me {
             self.me = me;
-            self.hurry(now);
+            self.schedule_registration(now);
         }
     }
 
-    /// Takes this node out of the listing for good.
+    /// Removes this node's record permanently.
     pub fn leave(&mut self, now: Time) {
         self.leaving = true;
-        self.hurry(now);
+        self.schedule_registration(now);
     }
 
-    /// Whether nothing of this node is in the store any more, as far as it can
-    /// tell.
+    /// Whether this node has left and holds no lease in the store any more, as far
+    /// as it knows.
     pub fn has_left(&self) -> bool {
         self.leaving && self.registration.lease.is_none()
     }
 
-    fn hurry(&mut self, now: Time) {
-        let next = &mut self.registration.task.next;
+    fn schedule_registration(&mut self, now: Time) {
+        let next = &mut self.registration.task.next_at;
         *next = (*next).min(now);
     }
 
-    /// How long all others have counted this node as a member, without a break;
-    /// nothing while one of them may not.
+    /// How long all other nodes have considered this node a member without
+    /// interruption; `None` while one of them may not.
     ///
-    /// A node that is killed and comes back within the time of its lease finds
-    /// the record of its former life and replaces it. The others saw no gap in
-    /// between, so they count it from its first moment on.
+    /// A node that is killed and restarts before its lease expires finds the record
+    /// of its previous incarnation and replaces it. The other nodes saw no gap, so
+    /// they consider it a member from the start.
     pub fn membership_age(&self, now: Time) -> Option<Span> {
-        let confirmed = self.registration.confirmed?;
-        let counted = self.registration.counted?;
-        (now.since(confirmed) <= CONFIRMED && !self.leaving).then(|| match counted {
-            Counted::Always => Span::MAX,
-            Counted::Since(at) => now.since(at),
+        let confirmed = self.registration.confirmed_at?;
+        let member_since = self.registration.member_since?;
+        (now.since(confirmed) <= MEMBERSHIP_VALIDITY && !self.leaving).then(|| match member_since {
+            MemberSince::BeforeStart => Span::MAX,
+            MemberSince::At(at) => now.since(at),
         })
     }
 
-    /// Whether the others have been listed at least once.
+    /// Whether the members have been listed at least once.
     pub fn has_listing(&self) -> bool {
-        self.listing.after.is_some() || !self.listing.members.is_empty()
+        self.listing.revision.is_some() || !self.listing.members.is_empty()
     }
 
-    /// Until when this node may mint tokens of rates: while its record and its view
-    /// of all others are certain. In the past when it may not.
+    /// Until when this node may mint rate tokens: as long as its own record and its
+    /// view of all other members are certain. A time in the past if it may not.
     pub fn minting_until(&self, now: Time) -> Time {
-        let joined = self
+        let is_established = self
             .membership_age(now)
             .is_some_and(|span| span >= bank::JOIN_DELAY);
-        match (self.registration.confirmed, self.listing.viewed) {
-            (Some(confirmed), Some(viewed)) if joined => {
-                // Until a newcomer that is not counted yet may begin to mint.
-                let newcomers = self.newcomers(now).map(|at| at + bank::JOIN_DELAY);
-                let until = (confirmed + CONFIRMED).min(viewed + bank::MAX_VIEW_AGE);
+        match (self.registration.confirmed_at, self.listing.viewed_at) {
+            (Some(confirmed), Some(viewed)) if is_established => {
+                // A newcomer that is not a token server yet may start minting then.
+                let newcomers = self
+                    .newcomer_join_times(now)
+                    .map(|at| at + bank::JOIN_DELAY);
+                let until = (confirmed + MEMBERSHIP_VALIDITY).min(viewed + bank::MAX_VIEW_AGE);
                 newcomers.fold(until, Time::min)
             }
             _ => Time::ZERO,
         }
     }
 
-    /// When those began that are not counted yet.
-    fn newcomers(&self, now: Time) -> impl Iterator<Item = Time> {
-        let joined = self.listing.joined.values().copied();
+    /// The join times of members that are too recent to be token servers.
+    fn newcomer_join_times(&self, now: Time) -> impl Iterator<Item = Time> {
+        let joined = self.listing.joined_at.values().copied();
         joined.filter(move |at| now < *at + bank::MAX_VIEW_AGE)
     }
 
-    /// The nodes among which token servers are chosen, by name: those whose record
-    /// is in the store, and has been for so long that they may mint.
+    /// The members among which token servers are chosen, by name: those whose
+    /// record is in the store and has been there long enough for them to mint.
     ///
-    /// A newcomer does not mint before [`bank::JOIN_DELAY`]; taking it for a server
-    /// earlier would leave its part of each rate to nobody. A node whose record has
-    /// lapsed mints nothing, although it stays a member for [`GRACE`].
+    /// A newcomer does not mint before [`bank::JOIN_DELAY`]; choosing it as a server
+    /// earlier would leave its share of each rate unused. A node whose record has
+    /// lapsed mints nothing, although it stays a member for [`LAPSE_GRACE`].
     pub fn token_server_candidates(&self, now: Time) -> Vec<&Peer> {
         let listing = &self.listing;
         let me = &self.me.instance;
-        let joined = self
+        let is_established = self
             .membership_age(now)
             .is_some_and(|span| span >= bank::JOIN_DELAY);
-        let is_counted = |name: &Instance| match name == me {
-            true => joined,
+        let is_candidate = |name: &Instance| match name == me {
+            true => is_established,
             false => {
-                let joined = listing.joined.get(name);
+                let joined = listing.joined_at.get(name);
                 let is_new = joined.is_some_and(|at| now < *at + bank::MAX_VIEW_AGE);
-                !is_new && !listing.lapsed.contains_key(name)
+                !is_new && !listing.lapsed_at.contains_key(name)
             }
         };
         let members = listing.members.iter();
-        let counted = members.filter(|(name, _)| is_counted(name));
-        counted.map(|(_, peer)| peer).collect()
+        let candidates = members.filter(|(name, _)| is_candidate(name));
+        candidates.map(|(_, peer)| peer).collect()
     }
 
-    /// When it has something to do.
+    /// The time at which [`Directory::tick`] is to be called next.
     pub fn due(&self) -> Time {
-        let grace = self.listing.lapsed.values().min();
-        let grace = grace.map_or(Time::NEVER, |at| *at + GRACE);
+        let lapsed_at = self.listing.lapsed_at.values().min();
+        let grace_end = lapsed_at.map_or(Time::NEVER, |at| *at + LAPSE_GRACE);
         let calls = self.registration.task.due().min(self.listing.task.due());
-        calls.min(grace)
+        calls.min(grace_end)
     }
 
-    /// Adds the calls that are due, and the members whose time is over.
+    /// Adds the store calls that are due to `calls`, and returns the members whose
+    /// grace period is over.
     pub fn tick(&mut self, now: Time, calls: &mut Vec<(Purpose, Call)>) -> Vec<Change> {
         if self.registration.task.due() <= now {
-            match self.register(now) {
+            match self.next_registration_call(now) {
                 Some(call) => {
                     self.registration.task.begin(now);
                     calls.push((Purpose::Register, call));
                 }
-                None => self.registration.task.next = now + RENEWAL,
+                None => self.registration.task.next_at = now + RENEWAL_INTERVAL,
             }
         }
         if self.listing.task.due() <= now && !self.leaving {
             self.listing.task.begin(now);
-            calls.push((Purpose::Watch, watch_call(self.listing.after)));
+            calls.push((Purpose::Watch, watch_call(self.listing.revision)));
         }
-        self.listing.bury(now)
+        self.listing.remove_expired(now)
     }
 
-    fn register(&mut self, now: Time) -> Option<Call> {
+    fn next_registration_call(&mut self, now: Time) -> Option<Call> {
         let registration = &mut self.registration;
-        let lapsed = registration.confirmed.is_some_and(|at| now.since(at) > TTL);
+        let lapsed = registration
+            .confirmed_at
+            .is_some_and(|at| now.since(at) > RECORD_TTL);
         if lapsed {
-            registration.counted = None;
+            registration.member_since = None;
         }
         if self.leaving {
             return registration.lease.map(|lease| Call::Revoke { lease });
         }
         let Some(lease) = registration.lease else {
-            return Some(Call::Grant { ttl: TTL });
+            return Some(Call::Grant { ttl: RECORD_TTL });
         };
-        // While the store turns calls away, the cheapest one finds out when it stops.
-        let written = registration.written.as_ref() == Some(&self.me);
-        let entered = registration.former.is_none();
-        if written || (entered && registration.task.is_failing()) {
+        // While the store rejects calls, retry with the cheapest call to detect when
+        // it recovers.
+        let is_stored = registration.stored.as_ref() == Some(&self.me);
+        let has_written = registration.expected_revision.is_none();
+        if is_stored || (has_written && registration.task.is_failing()) {
             return Some(Call::Renew { lease });
         }
         let value = serde_json::to_string(&self.me).ok()?;
-        registration.writing = Some(self.me.clone());
+        registration.pending_write = Some(self.me.clone());
         let key = record_key(&self.me.instance);
         let lease = Some(lease);
-        Some(match registration.former {
+        Some(match registration.expected_revision {
             Some(expect) => Call::Swap {
                 key,
                 expect,
@@ -359,75 +367,79 @@
         })
     }
 
-    /// Takes an answer, and tells what changed.
+    /// Handles an answer of the store, and returns the changes to the members.
     pub fn handle_answer(&mut self, now: Time, purpose: Purpose, answer: Answer) -> Vec<Change> {
         match purpose {
             Purpose::Register => {
                 self.registration.handle_answer(now, answer, self.leaving);
-                let written = self.registration.written.as_ref();
-                if !self.registration.task.is_failing() && written.is_some_and(|w| *w != self.me) {
-                    self.hurry(now);
+                let stored = self.registration.stored.as_ref();
+                if !self.registration.task.is_failing()
+                    && stored.is_some_and(|stored| *stored != self.me)
+                {
+                    self.schedule_registration(now);
                 }
                 Vec::new()
             }
             Purpose::Watch => {
                 let changes = self.listing.handle_answer(now, answer);
-                self.check_own(now);
+                self.check_own_record(now);
                 changes
             }
         }
     }
 
-    /// Takes what another node says that the store would have answered, and when
-    /// that was certainly so.
-    pub fn handle_relayed(&mut self, now: Time, confirmed: Time, answer: Answer) -> Vec<Change> {
-        self.listing.task.sent = confirmed;
+    /// Handles a store answer that another node passed on. At `confirmed_at` the
+    /// answer was certainly correct.
+    pub fn handle_relayed(&mut self, now: Time, confirmed_at: Time, answer: Answer) -> Vec<Change> {
+        self.listing.task.sent_at = confirmed_at;
         self.handle_answer(now, Purpose::Watch, answer)
     }
 
-    /// The own record is there for the others. A lost write of an earlier life
-    /// may take effect late, over this life's record, or the lease may have
-    /// lapsed: then it is written anew.
-    fn check_own(&mut self, now: Time) {
+    /// Writes this node's record again if the other nodes no longer see it: a lost
+    /// write of an earlier incarnation may have taken effect late and overwritten
+    /// it, or the lease may have expired.
+    fn check_own_record(&mut self, now: Time) {
         let me = &self.me.instance;
         let overwritten = std::mem::take(&mut self.listing.overwritten);
         let overwritten = overwritten.contains(me);
-        let lapsed = self.listing.lapsed.contains_key(me);
-        if (overwritten || lapsed) && self.registration.written.is_some() {
-            self.registration.written = None;
-            self.hurry(now);
+        let lapsed = self.listing.lapsed_at.contains_key(me);
+        if (overwritten || lapsed) && self.registration.stored.is_some() {
+            self.registration.stored = None;
+            self.schedule_registration(now);
         }
     }
 }
 
-/// The life of an instance that its record in the store speaks of; none when
-/// there is no record, or no word of the store within [`FORMER`].
+/// The incarnation in the store's record of an instance; `None` if there is no
+/// record, or no answer of the store within [`PREVIOUS_RECORD_TIMEOUT`].
 ///
-/// Guards against a time of day that goes back between two lives of a node. Its
-/// new life would then be the lower one: the others would take its record for an
-/// old one, address every request to the life that is gone, and the instance
-/// would get no work until its clock had passed the old place.
+/// Guards against a wall clock that goes backwards between two incarnations of a
+/// node. The new incarnation would then be the lower one: the other nodes would
+/// take its record for an outdated one and address every request to the old
+/// incarnation, so the instance would get no work until its clock had passed the
+/// old value.
 pub async fn previous_incarnation(store: &dyn Store, instance: &Instance) -> Option<Incarnation> {
     let key = record_key(instance);
     let asked = store.call(Call::Get { key });
-    let answer = tokio::time::timeout(FORMER.to_std(), asked).await;
+    let answer = tokio::time::timeout(PREVIOUS_RECORD_TIMEOUT.to_std(), asked).await;
     let Ok(Answer::Value(Some(entry))) = answer else {
         return None;
     };
-    peer(&entry.key, &entry.value).map(|peer| peer.incarnation)
+    parse_record(&entry.key, &entry.value).map(|peer| peer.incarnation)
 }
 
-/// The question to the store for what has changed since a revision.
+/// The store call that waits for changes to the records after a revision.
 pub fn watch_call(after: Option<Revision>) -> Call {
-    Call::changes(RECORD_PREFIX, after, WAIT)
+    Call::changes(RECORD_PREFIX, after, WATCH_TIMEOUT)
 }
 
 fn record_key(instance: &Instance) -> String {
     format!("{RECORD_PREFIX}{instance}")
 }
 
-/// A record, if it can be read and stands under its own name.
-fn peer(key: &str, value: &str) -> Option<Peer> {
+/// Parses a record; `None` if it is malformed or its key does not match the
+/// instance that it describes.
+fn parse_record(key: &str, value: &str) -> Option<Peer> {
     let peer: Peer = serde_json::from_str(value).ok()?;
     let name = key.strip_prefix(RECORD_PREFIX)?;
     (peer.instance.as_str() == name).then_some(peer)
--- a/src/process/directory/listing.rs
+++ b/src/process/directory/listing.rs
@@ -1,12 +1,12 @@
-//! The records of all nodes: what the answers of the store, or of a watcher, change.
+//! Applies answers of the store, or of a watcher, to the view of the members.
 
 use super::{
     Change,
-    GRACE,
+    LAPSE_GRACE,
     Listing,
     RECORD_PREFIX,
-    SETTLE,
-    peer, //
+    WATCH_SETTLE_DELAY,
+    parse_record, //
 };
 use crate::{
     clock::Time,
@@ -22,88 +22,94 @@
     pub(super) fn handle_answer(&mut self, now: Time, answer: Answer) -> Vec<Change> {
         match answer {
             Answer::Listing { entries, at } => {
-                let former = self.viewed;
-                self.viewed = former.max(Some(self.task.sent));
-                self.after = Some(at);
+                let previous_view = self.viewed_at;
+                self.viewed_at = previous_view.max(Some(self.task.sent_at));
+                self.revision = Some(at);
                 self.task.succeed(now);
-                let there: Vec<_> = entries
+                let present: Vec<_> = entries
                     .iter()
-                    .filter_map(|entry| peer(&entry.key, &entry.value))
+                    .filter_map(|entry| parse_record(&entry.key, &entry.value))
                     .collect();
-                self.absent(now, &there);
-                there
+                self.mark_absent(now, &present);
+                present
                     .into_iter()
-                    .filter_map(|peer| self.put(peer, former))
+                    .filter_map(|peer| self.apply_record(peer, previous_view))
                     .collect()
             }
             Answer::Changes { changes, at } => {
-                let former = self.viewed;
-                self.viewed = former.max(Some(self.task.sent));
-                self.after = Some(at);
-                self.task.succeed(now + SETTLE);
-                let mut news = Vec::new();
+                let previous_view = self.viewed_at;
+                self.viewed_at = previous_view.max(Some(self.task.sent_at));
+                self.revision = Some(at);
+                self.task.succeed(now + WATCH_SETTLE_DELAY);
+                let mut updates = Vec::new();
                 for change in changes {
                     match change.entry {
                         Some(entry) => {
-                            let peer = peer(&entry.key, &entry.value);
-                            news.extend(peer.and_then(|peer| self.put(peer, former)));
+                            let peer = parse_record(&entry.key, &entry.value);
+                            updates.extend(
+                                peer.and_then(|peer| self.apply_record(peer, previous_view)),
+                            );
                         }
-                        None => self.lapse(now, &change.key),
+                        None => self.mark_lapsed(now, &change.key),
                     }
                 }
-                news
+                updates
             }
             Answer::Forgotten => {
-                self.after = None;
+                self.revision = None;
                 self.task.succeed(now);
                 Vec::new()
             }
             _ => {
-                self.after = None;
+                self.revision = None;
                 self.task.fail(now);
                 Vec::new()
             }
         }
     }
 
-    /// Members that a fresh look does not show have lapsed.
-    pub(super) fn absent(&mut self, now: Time, there: &[Peer]) {
-        let is_there = |name: &Instance| there.iter().any(|peer| peer.instance == *name);
+    /// Marks the members that are missing from a full listing as lapsed.
+    pub(super) fn mark_absent(&mut self, now: Time, present: &[Peer]) {
+        let is_present = |name: &Instance| present.iter().any(|peer| peer.instance == *name);
         let gone: Vec<_> = self
             .members
             .keys()
-            .filter(|name| !is_there(name))
+            .filter(|name| !is_present(name))
             .cloned()
             .collect();
         for name in gone {
-            self.lapsed.entry(name).or_insert(now);
+            self.lapsed_at.entry(name).or_insert(now);
         }
     }
 
-    pub(super) fn lapse(&mut self, now: Time, key: &str) {
+    pub(super) fn mark_lapsed(&mut self, now: Time, key: &str) {
         let name = key
             .strip_prefix(RECORD_PREFIX)
             .and_then(|name| name.parse().ok());
         if let Some(name) = name
             && self.members.contains_key(&name)
         {
-            self.lapsed.entry(name).or_insert(now);
+            self.lapsed_at.entry(name).or_insert(now);
         }
     }
 
-    /// A record is news unless it is of an earlier life: a lost write may take
-    /// effect after its node was replaced.
-    pub(super) fn put(&mut self, peer: Peer, former: Option<Time>) -> Option<Change> {
+    /// Applies a record unless it is of an earlier incarnation: a lost write may
+    /// take effect after its node was replaced.
+    pub(super) fn apply_record(
+        &mut self,
+        peer: Peer,
+        previous_view: Option<Time>,
+    ) -> Option<Change> {
         let known = self.members.get(&peer.instance);
         if known.is_some_and(|known| known.incarnation > peer.incarnation) {
             self.overwritten.push(peer.instance);
             return None;
         }
-        let is_new = known.is_none() || self.lapsed.contains_key(&peer.instance);
-        if is_new && let Some(former) = former {
-            self.joined.insert(peer.instance.clone(), former);
+        let is_new = known.is_none() || self.lapsed_at.contains_key(&peer.instance);
+        if is_new && let Some(previous_view) = previous_view {
+            self.joined_at.insert(peer.instance.clone(), previous_view);
         }
-        self.lapsed.remove(&peer.instance);
+        self.lapsed_at.remove(&peer.instance);
         if known == Some(&peer) {
             return None;
         }
@@ -111,24 +117,26 @@
         Some(Change::Updated(peer))
     }
 
-    /// Takes out members whose record has been gone for long enough. One that
-    /// said that it leaves took its record away itself, and is gone at once.
-    pub(super) fn bury(&mut self, now: Time) -> Vec<Change> {
-        let left = |name: &Instance| {
+    /// Removes the members whose record has been missing for [`LAPSE_GRACE`]. A member
+    /// that announced that it leaves deleted its record itself and is removed at
+    /// once.
+    pub(super) fn remove_expired(&mut self, now: Time) -> Vec<Change> {
+        let has_left = |name: &Instance| {
             let member = self.members.get(name);
             member.is_some_and(|member| member.status == Status::Leaving)
         };
-        let over = |name: &Instance, at: &Time| left(name) || now.since(*at) >= GRACE;
+        let is_expired =
+            |name: &Instance, at: &Time| has_left(name) || now.since(*at) >= LAPSE_GRACE;
         let gone: Vec<_> = self
-            .lapsed
+            .lapsed_at
             .iter()
-            .filter(|(name, at)| over(name, at))
+            .filter(|(name, at)| is_expired(name, at))
             .map(|(name, _)| name.clone())
             .collect();
         gone.into_iter()
             .map(|name| {
-                self.lapsed.remove(&name);
-                self.joined.remove(&name);
+                self.lapsed_at.remove(&name);
+                self.joined_at.remove(&name);
                 self.members.remove(&name);
                 Change::Removed(name)
             })
--- a/src/process/directory/registration.rs
+++ b/src/process/directory/registration.rs
@@ -1,10 +1,10 @@
-//! The own record: what the answers of the store say of it.
+//! Applies answers of the store to the registration of this node.
 
 use super::{
-    Counted,
-    RENEWAL,
+    MemberSince,
+    RENEWAL_INTERVAL,
     Registration,
-    peer, //
+    parse_record, //
 };
 use crate::{
     clock::Time,
@@ -18,67 +18,68 @@
 
 impl Registration {
     pub(super) fn handle_answer(&mut self, now: Time, answer: Answer, leaving: bool) {
-        let sent = self.task.sent;
-        let writing = self.writing.take();
+        let sent = self.task.sent_at;
+        let pending_write = self.pending_write.take();
         if leaving {
             self.lease = None;
-            return self.task.succeed(now + RENEWAL);
+            return self.task.succeed(now + RENEWAL_INTERVAL);
         }
         match answer {
             Answer::Leased { lease, .. } if self.lease.is_none() => {
                 self.lease = Some(lease);
-                self.written = None;
+                self.stored = None;
                 self.task.succeed(now);
             }
-            Answer::Leased { .. } if self.written.is_some() => {
-                self.counted.get_or_insert(Counted::Since(now));
-                self.confirm(sent);
-                self.task.succeed(sent + RENEWAL);
+            Answer::Leased { .. } if self.stored.is_some() => {
+                self.member_since.get_or_insert(MemberSince::At(now));
+                self.confirm_membership(sent);
+                self.task.succeed(sent + RENEWAL_INTERVAL);
             }
             Answer::Leased { .. } => self.task.succeed(now),
             Answer::Swapped(_) => {
-                if let Some(former) = self.former.take()
-                    && former != Revision::default()
+                if let Some(replaced) = self.expected_revision.take()
+                    && replaced != Revision::default()
                 {
-                    self.counted = Some(Counted::Always);
+                    self.member_since = Some(MemberSince::BeforeStart);
                 }
-                self.written = writing;
-                self.counted.get_or_insert(Counted::Since(now));
-                self.confirm(sent);
-                self.task.succeed(sent + RENEWAL);
+                self.stored = pending_write;
+                self.member_since.get_or_insert(MemberSince::At(now));
+                self.confirm_membership(sent);
+                self.task.succeed(sent + RENEWAL_INTERVAL);
             }
             Answer::Conflict(present) => {
-                self.conflict(writing.as_ref(), present);
+                self.handle_conflict(pending_write.as_ref(), present);
                 self.task.succeed(now);
             }
             Answer::Expired => {
                 self.lease = None;
-                self.written = None;
-                self.counted = None;
+                self.stored = None;
+                self.member_since = None;
                 self.task.succeed(now);
             }
-            // A write that was lost may have taken effect; it is written again,
-            // which does no harm.
+            // A lost write may have taken effect. Writing again is idempotent.
             _ => self.task.fail(now),
         }
     }
 
-    /// The first write found another record than it expected: that of the life
-    /// before, or its own, if an earlier try took effect without an answer.
-    /// Which of the two was replaced then is not known, so it proves nothing.
-    pub(super) fn conflict(&mut self, writing: Option<&Peer>, present: Option<Entry>) {
+    /// Handles a first write that met another record than it expected: that of the
+    /// previous incarnation, or its own if an earlier attempt took effect and its
+    /// answer was lost. What that earlier attempt replaced is unknown, so an own
+    /// record proves no uninterrupted membership.
+    pub(super) fn handle_conflict(&mut self, pending_write: Option<&Peer>, present: Option<Entry>) {
         let Some(present) = present else {
-            self.former = Some(Revision::default());
+            self.expected_revision = Some(Revision::default());
             return;
         };
-        let record = peer(&present.key, &present.value);
-        let own = record.is_some_and(|record| {
-            writing.is_some_and(|writing| record.incarnation == writing.incarnation)
+        let record = parse_record(&present.key, &present.value);
+        let is_own = record.is_some_and(|record| {
+            pending_write
+                .is_some_and(|pending_write| record.incarnation == pending_write.incarnation)
         });
-        self.former = (!own).then_some(present.revision);
+        self.expected_revision = (!is_own).then_some(present.revision);
     }
 
-    pub(super) fn confirm(&mut self, sent: Time) {
-        self.confirmed = self.confirmed.max(Some(sent));
+    pub(super) fn confirm_membership(&mut self, sent: Time) {
+        self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 }
