--- a/src/process/feed.rs
+++ b/src/process/feed.rs
@@ -165,13 +165,13 @@
 }
 
 impl TopicLog {
-    fn new(entries: &[Entry], at: Revision, confirmed_at: Time) -> Self {
+    fn new(entries: &[Entry], revision: Revision, confirmed_at: Time) -> Self {
         let mut log = Self {
             entries: BTreeMap::new(),
             compressed: BTreeMap::new(),
             batches: VecDeque::new(),
-            first_revision: at,
-            revision: at,
+            first_revision: revision,
+            revision,
             confirmed_at,
         };
         entries.iter().for_each(|entry| log.insert(entry));
--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -34,8 +34,8 @@
     },
     seed::{
         SEEDS,
-        SeedClient, //
-        SeedRole,
+        SeedClient,
+        SeedRole, //
     },
     table::{
         Merge,
--- a/tests/fleet/directory.rs
+++ b/tests/fleet/directory.rs
@@ -8,8 +8,8 @@
     directory::{
         Change,
         Directory,
-        Purpose, //
-        RECORD_PREFIX,
+        Purpose,
+        RECORD_PREFIX, //
     },
     id::{
         Incarnation,
