--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Keeper,
         Seat, //
+        SeatManager,
     },
     message::Message,
     quota::{
@@ -50,7 +50,7 @@
 /// What this node holds for the fleet, and whom it believes to hold the rest.
 #[derive(Debug)]
 pub(super) struct Rights {
-    keeper: Keeper,
+    keeper: SeatManager,
     owner: Owner,
     records: record::Owner,
     /// Where this node's ingress looks for record owners.
@@ -66,13 +66,13 @@
     /// When nothing that was done under its rights was outstanding any more.
     settled: Option<Time>,
     /// What was in the buckets when the seats were given up.
-    accounts: Option<Vec<quota::Account>>,
+    accounts: Option<Vec<quota::BucketSnapshot>>,
 }
 
 impl Rights {
     pub(super) fn new(instance: Instance, life: crate::id::Incarnation, seed: u64) -> Self {
         Self {
-            keeper: Keeper::new(instance, life, seed),
+            keeper: SeatManager::new(instance, life, seed),
             owner: Owner::default(),
             records: record::Owner::default(),
             directory: Directory::default(),
@@ -91,7 +91,7 @@
 impl Core {
     /// Shares rates in another way, and goes by other times of leases, from the
     /// beginning of the node on.
-    pub fn configure(&mut self, mode: Mode, setting: lease::Setting) {
+    pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
         self.quota.switch(mode);
         self.rights.keeper.configure(setting);
         if let Mode::Standing(percent, _) = mode {
@@ -100,7 +100,7 @@
     }
 
     /// The rights that this node holds, to look at.
-    pub fn keeper(&self) -> &Keeper {
+    pub fn seat_manager(&self) -> &SeatManager {
         &self.rights.keeper
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn rights_leave(&mut self, now: Time, out: &mut Vec<Action>) {
-        let over = |since: Time| now.since(since) > quota::LIFE;
+        let over = |since: Time| now.since(since) > quota::MAX_GRANT_LIFE;
         if !self.rights.leaving.is_some_and(over) {
             return;
         }
@@ -173,7 +173,7 @@
         };
         self.records_hand_on(now, &to, out);
         if !accounts.is_empty() {
-            self.quota_tell(now, &to, quota::Message::Accounts(accounts), out);
+            self.quota_tell(now, &to, quota::Message::Buckets(accounts), out);
         }
     }
 
@@ -212,7 +212,7 @@
                     let number = self.ask(Asker::Rights, call, out);
                     self.rights.tickets.insert(number, ticket);
                 }
-                lease::Action::Tell(to, message) => self.tell(&to, Message::Lease(message), out),
+                lease::Action::Send(to, message) => self.tell(&to, Message::Lease(message), out),
             }
         }
     }
@@ -236,7 +236,7 @@
                 number,
                 reply,
             } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Accounts(accounts) => self.rights.owner.inherit(accounts),
+            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
                     self.rights.owner.returned(now, row, &returns);
@@ -249,22 +249,22 @@
     fn grant(&mut self, now: Time, ask: &quota::Ask) -> Reply {
         let seat = seats::quota(&ask.team);
         let rights = &mut self.rights;
-        let right = rights.keeper.right(now, &seat);
+        let right = rights.keeper.ownership(now, &seat);
         let row = self.snapshot.teams.team(&ask.team);
         match (right, row) {
             (Some(right), Some(row)) if rights.leaving.is_none() => {
                 rights.owner.ask(now, right, row, ask)
             }
             _ => {
-                rights.keeper.contest(now, &seat);
+                rights.keeper.note_unreachable_owner(now, &seat);
                 let me = &self.identity.peer.instance;
                 let owner = match rights.leaving {
                     Some(_) => rights.keeper.successor(),
                     // The next owner of a seat does not send its askers back.
-                    None if rights.keeper.is_heir(&seat) => None,
+                    None if rights.keeper.is_successor_for(&seat) => None,
                     None => rights.keeper.owner(&seat),
                 };
-                Reply::Elsewhere(owner.filter(|owner| *owner != me).cloned())
+                Reply::NotOwner(owner.filter(|owner| *owner != me).cloned())
             }
         }
     }
@@ -280,14 +280,14 @@
     ) {
         let seat = seats::quota(&team);
         match &reply {
-            Reply::Elsewhere(Some(other)) => {
+            Reply::NotOwner(Some(other)) => {
                 self.rights.unanswered.remove(&seat);
-                self.rights.keeper.hint(seat, other.clone());
+                self.rights.keeper.set_owner_hint(seat, other.clone());
             }
-            Reply::Elsewhere(None) => {}
-            Reply::Granted { .. } | Reply::Over(_) => {
+            Reply::NotOwner(None) => {}
+            Reply::Granted { .. } | Reply::OverRate(_) => {
                 self.rights.unanswered.remove(&seat);
-                self.rights.keeper.hint(seat, from);
+                self.rights.keeper.set_owner_hint(seat, from);
             }
         }
         if self.quota.reply(now, &team, number, reply) {
--- a/src/request/inbound/running.rs
+++ b/src/request/inbound/running.rs
@@ -13,7 +13,7 @@
     waiting::Waiting, //
 };
 use crate::{
-    allowance::Purse,
+    allowance::Allowance,
     clock::Time,
     code::Code,
     context::Context,
@@ -123,7 +123,7 @@
         let token = id::Token(world.rng.random());
         let weight = world.snapshot.teams.team(&waiting.context.team);
         let weight = weight.map_or(1, |team| team.weight.0);
-        self.queue.count(&waiting.context.team, weight);
+        self.queue.record_start(&waiting.context.team, weight);
         self.site.started(now);
         let kind = match waiting.context.depth {
             0 => Kind::Root,
@@ -138,7 +138,7 @@
         }
         self.pace.take(now);
         self.tokens.insert(token, request);
-        let purse = Purse::new(waiting.context.allowance);
+        let purse = Allowance::new(waiting.context.allowance);
         self.purses.insert(request, purse);
         self.deadlines.insert((waiting.deadline, request));
         let deadline = waiting.deadline;
@@ -235,7 +235,7 @@
                 if now <= running.deadline {
                     self.site.took(now, &running.route, took);
                 }
-                world.levels.learn(&running.route, &running.called);
+                world.levels.record_calls(&running.route, &running.called);
             }
             End::Refused => {
                 self.limit.refused();
