--- a/src/request/balance.rs
+++ b/src/request/balance.rs
@@ -305,7 +305,8 @@
         peers: &[&'a Peer],
         policy: Policy,
     ) -> Vec<&'a Peer> {
-        let accepts_work = |peer: &&&Peer| members.accepts_work(peer) && !self.is_leaving(now, peer);
+        let accepts_work =
+            |peer: &&&Peer| members.accepts_work(peer) && !self.is_leaving(now, peer);
         let alive: Vec<&Peer> = peers
             .iter()
             .filter(accepts_work)
