--- a/src/connection/caller.rs
+++ b/src/connection/caller.rs
@@ -170,7 +170,7 @@
         _ => hold_body(payload, hold, limit, limits.body_time).await?,
     };
     let held = match &source {
-        Source::Held(bytes) => {
+        Source::Buffered(bytes) => {
             head.length = Some(bytes.len() as u64);
             Some(bytes.clone())
         }
@@ -289,7 +289,7 @@
     loop {
         let next = tokio::time::timeout(patience.to_std(), payload.next());
         match next.await.map_err(|_| Code::CallerSlow)? {
-            None => return Ok(Source::Held(held.freeze())),
+            None => return Ok(Source::Buffered(held.freeze())),
             Some(chunk) => held.extend_from_slice(&chunk.map_err(|_| Code::Malformed)?),
         }
         if held.len() as u64 > limit {
@@ -348,7 +348,7 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let next = self.inlet.poll(cx);
         if let Poll::Ready(Some(Err(Cut))) = next {
-            self.guard.cut();
+            self.guard.count_cut_answer();
         }
         next
     }
--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -359,7 +359,7 @@
                 // Closing the channel is the end mark.
                 Some(feed) => drop(feed),
                 None => {
-                    let source = Source::Held(body.held.freeze());
+                    let source = Source::Buffered(body.held.freeze());
                     return begin(shared, &body.request, source).err();
                 }
             }
@@ -383,7 +383,7 @@
     }
     let declared = caller::declared(&request)?;
     if declared == Some(0) {
-        begin(shared, &request, Source::Held(Bytes::new()))?;
+        begin(shared, &request, Source::Buffered(Bytes::new()))?;
         return Ok(None);
     }
     let host = caller::host(&request)?;
@@ -430,7 +430,7 @@
         ..Head::default()
     };
     let held = match &source {
-        Source::Held(bytes) => Some(bytes.len() as u64),
+        Source::Buffered(bytes) => Some(bytes.len() as u64),
         Source::Stream { .. } => None,
     };
     head.length = held.or(head.length);
@@ -513,7 +513,7 @@
         Reply::Answer(head, inlet) => {
             let cut = deliver(writer, &head, &inlet, exchange.is_head, close).await;
             if let (Err(Cut), Some(guard)) = (&cut, &exchange.guard) {
-                guard.cut();
+                guard.count_cut_answer();
             }
             cut?;
         }
--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -79,7 +79,7 @@
         outlet: Rc<Outlet>,
     ) {
         let taken = self.with_call(call, |pending| match &mut pending.source {
-            Source::Held(bytes) => Source::Held(bytes.clone()),
+            Source::Buffered(bytes) => Source::Buffered(bytes.clone()),
             Source::Stream {
                 prefix,
                 rest,
@@ -97,8 +97,10 @@
             outlet,
         };
         match taken {
-            Some(Source::Held(bytes)) if bytes.len() <= WINDOW => self.send_whole(&sending, bytes),
-            Some(Source::Held(bytes)) => {
+            Some(Source::Buffered(bytes)) if bytes.len() <= WINDOW => {
+                self.send_whole(&sending, bytes)
+            }
+            Some(Source::Buffered(bytes)) => {
                 let size = bytes.len() as u64;
                 self.send_stream(call, sending, size, stream::iter([Ok(bytes)]));
             }
--- a/src/request/pending.rs
+++ b/src/request/pending.rs
@@ -37,7 +37,7 @@
 /// Where the body of a call comes from.
 pub(crate) enum Source {
     /// It is here, and can be sent more than once.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It comes in as it is sent, once.
     Stream {
         /// What was read already.
@@ -97,7 +97,7 @@
 
 impl Guard {
     /// The answer did not become whole.
-    pub(crate) fn cut(&self) {
+    pub(crate) fn count_cut_answer(&self) {
         self.carrier.count(Counter::AnswerCut);
     }
 }
