--- a/src/request/balance/subset.rs
+++ b/src/request/balance/subset.rs
@@ -70,7 +70,7 @@
 
 fn select(domain: &Domain, seed: u64, members: &Table, pool: &Pool) -> Vec<Instance> {
     let eligible = |peer: &&Peer| {
-        peer.pool == *pool && members.takes_work(peer) && peer.status != Status::Dead
+        peer.pool == *pool && members.accepts_work(peer) && peer.status != Status::Dead
     };
     let (mut local, mut remote): (Vec<_>, Vec<_>) = members
         .iter()
