--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -1,8 +1,8 @@
-//! How an attempt ends: done, certainly not run, or unknown.
+//! Outcome of an attempt: done, certainly not run, or unknown.
 //!
-//! The type is closed on purpose. Only [`Outcome::NotRun`] may be tried again
-//! when the request is not idempotent, and only code that never sent the
-//! request, or the inbound proxy that never started it, may construct one.
+//! There are deliberately no other outcomes. A request that isn't idempotent may
+//! be retried only after [`Outcome::NotRun`]. Only code that never sent the
+//! request, or the inbound proxy that never started it, may construct this variant.
 
 use serde::{
     Deserialize,
@@ -18,19 +18,19 @@
     id::Incarnation,
 };
 
-/// The end of one attempt.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The upstream answered, with this HTTP status.
     Done(u16),
-    /// No upstream has begun it, and none will.
+    /// No upstream has started the request, and none will.
     NotRun(Code),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Code),
 }
 
 impl From<Code> for Outcome {
-    /// The outcome that a code promises.
+    /// Returns the outcome that the code's verdict stands for.
     fn from(code: Code) -> Self {
         match code.verdict() {
             Verdict::NotRun => Self::NotRun(code),
@@ -39,31 +39,32 @@
     }
 }
 
-/// What an inbound proxy tells with every answer and refusal.
+/// Status of an inbound proxy, sent with every response and refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The admission level now in force, see [`crate::admission`].
+    /// Current admission level, see [`crate::admission`].
     pub level: u16,
-    /// Requests in flight and queued at the upstream.
+    /// Number of requests in flight and queued at the upstream.
     pub load: u32,
-    /// Slots the upstream has by the present limit.
+    /// Number of slots of the upstream under the current concurrency limit.
     pub slots: u32,
-    /// The usual time of service of the attempt's route here, in milliseconds; zero
-    /// while unknown.
+    /// Average service time of the attempt's route at this instance, in milliseconds.
+    /// Zero if unknown.
     #[serde(default)]
     pub service: u32,
-    /// Retries that the attempt and all below it have spent.
+    /// Number of retries spent by the attempt and all calls below it.
     pub spent: u8,
-    /// A deeper hop has judged that nobody above should try again.
+    /// Set by a deeper hop if no hop above should retry.
     #[serde(rename = "final_word")]
     pub no_retry: bool,
-    /// The inbound proxy's clock, in milliseconds.
+    /// Clock of the inbound proxy, in milliseconds.
     pub clock: u64,
     /// The upstream is leaving.
     pub leaving: bool,
-    /// The life of the node that reports.
+    /// Incarnation of the reporting node.
     pub life: Incarnation,
-    /// What the upstream told in its answers, where that binds.
+    /// Rate limit or leaving state that the upstream announced in its responses,
+    /// while it applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hint: Option<Hint>,
 }
--- a/src/request/policy.rs
+++ b/src/request/policy.rs
@@ -1,90 +1,91 @@
-//! Which mechanisms are in force.
+//! Selects the overload control mechanisms that are enabled.
 //!
-//! A node runs with [`Policy::default`]. Measurements and tests take single
-//! mechanisms away, or put a well-known simpler one in their place, in this
-//! same code.
+//! A node starts with [`Policy::default`]. Measurements and tests disable single
+//! mechanisms, or replace them with well-known simpler ones, in the same code.
 
 use crate::clock::Span;
 
-/// How long a call waits for a rate token: an owner that was lost has a
-/// successor by then.
+/// Default of [`Policy::max_token_wait`]. A failed owner of a team's rate has been
+/// replaced within this time.
 const DEFAULT_TOKEN_WAIT: Span = Span::from_ms(500);
 
-/// How an inbound proxy decides what to take.
+/// How an inbound proxy admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Everything goes to the upstream at once.
+    /// Sends every request to the upstream at once.
     Open,
-    /// A fixed number at a time, and a queue in order of arrival.
+    /// Fixed concurrency limit with a FIFO queue.
     Fixed,
-    /// A learnt limit, an ordered queue and a level that follows its delay.
+    /// Adaptive concurrency limit, priority queue, and an admission level that
+    /// follows the queue delay.
     Level,
 }
 
-/// What decides which requests a level sheds.
+/// What determines which requests are shed at an admission level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SheddingKey {
-    /// A coin for every attempt.
+    /// A random choice for each attempt.
     Random,
-    /// Importance, then the root, so that all hops decide alike.
+    /// Importance first, then the root, so that all hops make the same decision.
     Root,
 }
 
-/// What bounds retries.
+/// What limits retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryLimit {
-    /// Each hop retries this often on its own.
+    /// Each hop retries independently, up to this many times.
     PerHop(u8),
-    /// The root's allowance, shared by the whole tree.
+    /// The root's allowance, shared by its whole call tree.
     Allowance,
 }
 
-/// The mechanisms in force.
+/// The overload control mechanisms of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// How an inbound proxy decides what to take.
+    /// How an inbound proxy admits requests.
     pub admission: Admission,
-    /// What decides which requests a level sheds.
+    /// What determines which requests are shed at an admission level.
     pub shedding_key: SheddingKey,
-    /// What bounds retries.
+    /// What limits retries.
     pub retry_limit: RetryLimit,
-    /// A pool's retries are a share of its first tries.
+    /// Limits a pool's retries to a fraction of its first attempts.
     pub retry_budget: bool,
-    /// Ingress refuses on the level carried back.
+    /// Sheds at the ingress, by the level that inbound proxies report.
     pub early_shedding: bool,
-    /// New requests are held to the levels of what they will call.
+    /// Applies the levels of downstream services to new requests that will call them.
     pub downstream_levels: bool,
-    /// Teams share alike inside one importance.
+    /// Gives teams equal shares within one importance.
     pub fair_shares: bool,
-    /// Nested work goes before new roots of the same importance.
+    /// Serves nested calls before new roots of the same importance.
     pub nested_first: bool,
-    /// The least important band is served newest first under overload.
+    /// Serves the lowest importance newest first under overload.
     pub newest_first: bool,
-    /// What cannot finish in time is refused at once.
+    /// Refuses at once requests that can't finish before their deadline.
     pub deadline_check: bool,
-    /// How often a call goes on to another instance, beside its retries, when
-    /// one refused it before its upstream had seen it.
+    /// Maximum number of reroutes of a call. A reroute goes to another instance after
+    /// one refused the call before its upstream had seen it, and isn't a retry.
     pub max_reroutes: u8,
-    /// How often a call may be sent again to upstreams that answered that they
-    /// have not run it, once it may go to no further one.
+    /// Maximum number of times that a call is sent again to upstreams that answered
+    /// that they haven't run it, once it can't be sent to any other instance.
     pub max_rejection_retries: u8,
-    /// Calls that name no attempt are given to the one that most likely made
+    /// Attributes calls that name no attempt to the attempt that most likely made
     /// them; see [`crate::inbound::Proxy::caller`].
     pub attribution: bool,
-    /// How long a call waits for a rate token.
+    /// Maximum time that a call waits for a rate token.
     pub max_token_wait: Span,
-    /// What nobody waits for any longer is cancelled, with its nested calls.
+    /// Cancels requests that nobody waits for any more, with their nested calls.
     pub cancellation: bool,
-    /// Instances are picked by load; else by chance.
+    /// Selects instances by load instead of at random.
     pub load_balancing: bool,
-    /// Instances of the own failure domain come first.
+    /// Prefers instances of the local failure domain.
     pub prefer_local_domain: bool,
-    /// Failing instances are left out for a while.
+    /// Ejects failing instances for a while.
     pub ejection: bool,
 }
 
 impl Policy {
-    /// No control: every hop takes everything and retries on its own.
+    /// Returns a policy without overload control: every hop admits every request and
+    /// retries independently.
     pub fn open() -> Self {
         Self {
             admission: Admission::Open,
