--- a/src/process/lease.rs
+++ b/src/process/lease.rs
@@ -1,12 +1,14 @@
-//! Rights that at most one node holds at a time, kept as leases in the store.
+//! Exclusive ownership of named resources ("seats"), kept as leases in the
+//! store.
 //!
-//! A right is named by its [`Seat`]. Its owner is written in the store by
-//! compare-and-swap and holds it while the node's one short lease lives: one
-//! renewal covers all its seats, so store calls grow neither with teams nor
-//! with records. While the store does not answer, an owner may go on under the
-//! promises of the one successor that it named in the store, which alone may
-//! take its seats over. docs/design/leases.md argues why two nodes never hold
-//! one seat at the same time.
+//! A seat is held by at most one node at a time. Its owner is written to the
+//! store by compare-and-swap and holds the seat while the node's short lease is
+//! alive. One renewal covers all seats of a node, so store calls grow neither
+//! with the number of teams nor with the number of records. While the store is
+//! unreachable, an owner may keep its seats on promises from the one successor
+//! that it named in the store; only that successor may take the seats over
+//! meanwhile. docs/design/leases.md argues why two nodes never hold the same
+//! seat at the same time.
 
 mod base;
 mod claim;
@@ -56,12 +58,13 @@
     },
 };
 
-/// The name of a right.
+/// The name of a resource that one node owns at a time, such as `quota/3`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Seat(pub String);
 
-/// Counts the owners of a seat. It strictly grows.
+/// The fencing number of a seat's ownership. It strictly increases with each
+/// new owner.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -69,150 +72,155 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Whether an owner with this number comes directly after one with that. A
-    /// successor that takes over without the store counts one on, everybody else
-    /// two, so that the two never meet.
+    /// Whether this epoch comes directly after `other`. A successor that takes
+    /// over without the store increments the epoch by one, every other new
+    /// owner by two, so that the two never use the same number.
     pub fn directly_follows(self, other: Self) -> bool {
         self.0 > other.0 && self.0 <= other.0 + 2
     }
 }
 
-/// A right that holds now.
+/// Ownership of a seat that is valid now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ownership {
-    /// Under which number.
+    /// The epoch of this ownership.
     pub epoch: Epoch,
-    /// Since when.
+    /// When this node acquired the seat.
     pub since: Time,
-    /// Until when, if nothing renews it.
+    /// When the ownership expires unless it is renewed.
     pub until: Time,
-    /// The number before, if this node held the right under it without a break.
+    /// The previous epoch, if this node held the seat under it without
+    /// interruption.
     pub continued_epoch: Option<Epoch>,
 }
 
-/// One life of a node.
+/// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeLife {
-    /// Its name.
+    /// The node's instance name.
     pub instance: Instance,
-    /// Which life.
+    /// The incarnation, which changes on restart.
     pub life: Incarnation,
 }
 
-/// What the store keeps of a seat.
+/// The record of a seat in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct SeatRecord {
     owner: NodeLife,
     epoch: Epoch,
-    /// Tells one's own write when its answer was lost.
+    /// Identifies this node's own write when the answer to it was lost.
     #[serde(rename = "claim")]
     write_id: u64,
 }
 
-/// What the store keeps of a node that may own seats.
+/// The record, in the store, of a node that may own seats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct NodeRecord {
     successor: Option<Instance>,
-    /// The long lease with which the record goes.
+    /// The long lease that the record is attached to.
     lease: Lease,
 }
 
-/// What an owner and its successor tell each other.
+/// Messages between an owner and its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The owner's wish that its successor keeps still for a while.
+    /// The owner asks its successor for a new promise.
     Extend(Extend),
     /// The successor's answer.
     #[serde(rename = "Accord")]
     Reply(ExtendReply),
 }
 
-/// What an owner lives by.
+/// What the validity of an owner's seats depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     /// Its short lease.
     #[serde(rename = "Calm")]
     Normal,
-    /// Its short lease, and no longer than its successor's promises.
+    /// Its short lease, but no longer than its successor's promises.
     Bound,
     /// Its successor's promises alone.
     Frozen,
-    /// Promises, but it has a short lease again and would go back to it.
+    /// Promises, but the owner has a short lease again and asks to return to
+    /// it.
     Thawing,
-    /// Nothing: it has given up all its seats.
+    /// Nothing: the owner has released all its seats.
     #[serde(rename = "Over")]
     Released,
 }
 
-/// An owner's wish that its successor keeps still for a while.
+/// An owner's request that its successor promise not to take its seats for a
+/// while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extend {
-    /// The owner.
+    /// The node that owns the seats.
     pub owner: NodeLife,
-    /// Counts the owner's wishes; an older one is ignored.
+    /// Counts the owner's requests; the successor ignores older ones.
     pub sequence: u64,
-    /// What the owner lives by.
+    /// What the owner's seats depend on.
     pub state: State,
-    /// Time that the owner's short lease has left at most.
+    /// Upper bound of the time left on the owner's short lease.
     #[serde(rename = "short")]
     pub short_left: Span,
-    /// Time that the owner's long lease has left at least, counted from `heard`.
+    /// Lower bound of the time left on the owner's long lease, counted from
+    /// `echoed_clock`.
     #[serde(rename = "long")]
     pub long_left: Span,
-    /// The successor's own clock, as it stood in the last answer.
+    /// The successor's own clock reading, as its last answer carried it.
     #[serde(rename = "heard")]
     pub echoed_clock: Option<u64>,
-    /// The owner's seats.
+    /// The seats that the owner holds.
     pub seats: Vec<(Seat, Epoch)>,
 }
 
-/// How a successor stands to an owner.
+/// Whether a successor has promised not to take an owner's seats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PromiseStatus {
-    /// It keeps still for the time of a promise.
+    /// It takes no seats until the promise expires.
     Promise,
     /// It promises nothing, and has not taken over without the store.
     #[serde(rename = "Bare")]
     NoPromise,
-    /// It has taken over.
+    /// It has taken over the seats without the store.
     #[serde(rename = "Taken")]
     TakenOver,
 }
 
-/// A successor's answer.
+/// A successor's answer to an [`Extend`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExtendReply {
-    /// Who answers.
+    /// The successor.
     pub from: Instance,
-    /// The life it answers to.
+    /// The owner's incarnation that asked.
     pub life: Incarnation,
-    /// The wish it answers.
+    /// The request that this answers.
     pub sequence: u64,
-    /// What the owner lived by in that wish.
+    /// The owner's state in that request.
     pub state: State,
-    /// How it stands.
+    /// Whether the successor promises.
     #[serde(rename = "standing")]
     pub promise_status: PromiseStatus,
-    /// Its own clock.
+    /// The successor's clock reading.
     pub clock: u64,
 }
 
-/// Times that a keeper goes by.
+/// Lease durations, and whether owners name a successor.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// The short lease: how long after a crash its seats are lost to a node that
-    /// is not its successor.
+    /// TTL of the short lease. After a crash the seats stay unavailable for
+    /// this long to every node but the successor.
     pub short_ttl: Span,
     /// Time between renewals of the short lease.
     pub renew_interval: Span,
-    /// The long lease: how long an owner and its successor go on alone.
+    /// TTL of the long lease: how long an owner and its successor can go on
+    /// without the store.
     pub long_ttl: Span,
-    /// How long a successor goes on that has taken over without the store, and
-    /// how long its owner waits for one that is silent.
+    /// How long a successor may hold seats that it took over without the store,
+    /// and how long the owner waits for a successor that is silent.
     pub takeover_limit: Span,
     /// How long a promise of the successor lasts.
     pub promise_ttl: Span,
-    /// Kept back from every right, for clocks that run unevenly.
+    /// Subtracted from every lease, because clocks may run at different rates.
     pub clock_margin: Span,
     /// Whether owners name a successor at all.
     pub name_successor: bool,
@@ -232,12 +240,13 @@
     }
 }
 
-/// What a keeper wants done.
+/// What the caller of [`SeatManager`] has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call the store; hand the answer back with the same number.
+    /// Call the store and pass the answer to [`SeatManager::answer`] with the
+    /// same number.
     Store(u64, Call),
-    /// Tell another node.
+    /// Send a message to another node.
     Send(Instance, Message),
 }
 
@@ -249,9 +258,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Basis {
-    /// Written in the store under this short lease.
+    /// Written to the store under this short lease.
     ShortLease(Lease),
-    /// Taken over without the store, until then at most.
+    /// Taken over without the store, valid until this time at most.
     Takeover(Time),
 }
 
@@ -260,12 +269,14 @@
     epoch: Epoch,
     since: Time,
     basis: Basis,
-    /// The end of the time alone, until the store is known to name this node.
+    /// Upper bound of the seat's validity: the end of a takeover until the
+    /// store is known to name this node, or the end of a former successor's
+    /// last promise.
     expiry_cap: Time,
     continued_epoch: Option<Epoch>,
 }
 
-/// The rights of one node, and its part in those of others.
+/// The seats of one node, and its role as successor of other owners.
 #[derive(Debug)]
 pub struct SeatManager {
     local: NodeLife,
@@ -282,9 +293,10 @@
     pending_calls: BTreeMap<u64, (Time, Purpose)>,
     last_call: u64,
     draining: bool,
-    /// What it held when it gave everything up.
+    /// The seats held when [`SeatManager::drain`] released everything.
     released_seats: Vec<(Seat, Epoch)>,
-    /// Nodes that were silent as successors, and until when they are not named.
+    /// Nodes that were silent as successors, and until when they are not named
+    /// again.
     avoided_successors: BTreeMap<Instance, Time>,
 }
 
@@ -295,7 +307,7 @@
 }
 
 impl SeatManager {
-    /// A keeper without rights.
+    /// A manager that holds no seats.
     pub fn new(instance: Instance, life: Incarnation, seed: u64) -> Self {
         Self {
             local: NodeLife { instance, life },
@@ -317,13 +329,14 @@
         }
     }
 
-    /// Goes by other times, from the beginning of the node on.
+    /// Replaces the options. Call it before the first tick.
     pub fn configure(&mut self, options: Options) {
         self.options = options;
     }
 
-    /// The right to a seat, if this node holds it now. To be asked immediately
-    /// before each use: a node that was paused learns here that its time is over.
+    /// The ownership of a seat, if this node holds it now. Call this
+    /// immediately before each use: it is how a node that was paused learns
+    /// that its ownership has expired.
     pub fn ownership(&self, now: Time, seat: &Seat) -> Option<Ownership> {
         let held = self.held.get(seat)?;
         let until = self.valid_until(held).min(held.expiry_cap);
@@ -341,7 +354,7 @@
         self.held.keys().filter(holds).cloned().collect()
     }
 
-    /// Who was last known to own a seat.
+    /// The last known owner of a seat.
     pub fn owner(&self, seat: &Seat) -> Option<&Instance> {
         match self.held.contains_key(seat) {
             true => Some(&self.local.instance),
@@ -349,20 +362,21 @@
         }
     }
 
-    /// Learns who owns a seat.
+    /// Records which node owns a seat.
     pub fn set_owner_hint(&mut self, seat: Seat, owner: Instance) {
         self.owner_hints.insert(seat, owner);
     }
 
-    /// Whether the owner lives by its successor's promises.
+    /// Whether the seats depend on the successor's promises alone.
     pub fn is_frozen(&self) -> bool {
         self.successor_state
             .as_ref()
             .is_some_and(|successor| successor.frozen)
     }
 
-    /// Goes on with what is due. `wanted` are the seats that this node should
-    /// try to own, `successors` the nodes that it would name, best first.
+    /// Performs all work that is due. `wanted` lists the seats that this node
+    /// should try to own, `successors` the nodes it may name as successor, best
+    /// first.
     pub fn tick(
         &mut self,
         now: Time,
@@ -372,8 +386,8 @@
         out: &mut Vec<Action>,
     ) {
         self.started_at.get_or_insert(now);
-        // A node that wakes gives the store a moment to answer before it holds
-        // it for silent.
+        // After a pause, gives the store a moment to answer before treating it
+        // as silent.
         if now.since(self.last_tick) > PAUSE_THRESHOLD {
             self.own_leases.note_resumed(now);
         }
@@ -392,7 +406,7 @@
         }
     }
 
-    /// Takes the answer to a call of the store.
+    /// Handles the store's answer to a call.
     pub fn answer(&mut self, now: Time, number: u64, answer: Answer, out: &mut Vec<Action>) {
         let Some((asked, purpose)) = self.pending_calls.remove(&number) else {
             return;
@@ -406,7 +420,7 @@
         }
     }
 
-    /// Takes a message of another node.
+    /// Handles a message from another node.
     pub fn message(&mut self, now: Time, message: Message, out: &mut Vec<Action>) {
         match message {
             Message::Extend(extend) => self.on_extend(now, extend, out),
@@ -414,8 +428,8 @@
         }
     }
 
-    /// Gives up all seats for good and takes no new ones. Call it when nothing
-    /// that was done under them is outstanding any more.
+    /// Releases all seats for good and acquires no new ones. Call it once
+    /// nothing that was done under them is outstanding any more.
     pub fn drain(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.draining {
             self.released_seats = self.renewable_seats(now);
@@ -430,7 +444,7 @@
         self.successor_state.as_ref().map(SuccessorState::instance)
     }
 
-    /// Whether the node has given up its seats.
+    /// Whether the node has released its seats.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
@@ -444,13 +458,14 @@
                 .is_none_or(|successor| successor.release_acknowledged)
     }
 
-    /// Drops seats whose short lease has ended, before anything is said of them.
+    /// Drops seats whose short lease has expired, before this node claims them
+    /// in a message.
     ///
-    /// A node that was paused finds its seats written by others. If it kept them
-    /// and then came to live by promises, the promise of a successor that it had
-    /// told "calm" in between would bring them to life again, beside their new
-    /// owners. Where the store still has them under the same lease, they are
-    /// found again there.
+    /// After a pause a node may find that others have been written as owners of
+    /// its seats. If it kept them and then became frozen, a promise from a
+    /// successor that it had told [`State::Normal`] in between would revive
+    /// them beside their new owners. Where the store still names this node
+    /// under the same lease, the seats are read back from there.
     fn drop_expired(&mut self, now: Time) {
         if self.is_frozen() {
             return;
@@ -497,12 +512,12 @@
     format!("right/seat/{seat}")
 }
 
-fn alive_key(party: &NodeLife) -> String {
-    format!("right/alive/{}/{}", party.instance, party.life)
+fn alive_key(node: &NodeLife) -> String {
+    format!("right/alive/{}/{}", node.instance, node.life)
 }
 
-fn node_key(party: &NodeLife) -> String {
-    format!("right/node/{}/{}", party.instance, party.life)
+fn node_key(node: &NodeLife) -> String {
+    format!("right/node/{}/{}", node.instance, node.life)
 }
 
 fn decode<T: serde::de::DeserializeOwned>(entry: &crate::store::Entry) -> Option<T> {
@@ -513,13 +528,13 @@
     serde_json::to_string(value).ok()
 }
 
-/// Whether less than half of the members answer. A node that is cut off with a
-/// few others lets its short lease end, even when it reaches the store, so that
-/// the many can have what it owned.
+/// Whether less than half of the members are reachable. A node that is cut off
+/// with a few others lets its short lease expire even if it reaches the store,
+/// so that the majority can take over what it owned.
 fn is_minority(members: &Table) -> bool {
-    let answers = |peer: &&Peer| matches!(peer.status, Status::Alive | Status::Leaving);
-    let there = members.iter().filter(answers).count();
-    there * 2 < members.iter().count()
+    let is_reachable = |peer: &&Peer| matches!(peer.status, Status::Alive | Status::Leaving);
+    let reachable = members.iter().filter(is_reachable).count();
+    reachable * 2 < members.iter().count()
 }
 
 fn is_gone(members: &Table, instance: &Instance) -> bool {
@@ -529,5 +544,5 @@
 }
 
 const NO_REVISION: Revision = Revision(0);
-/// A gap between ticks after which the node was paused.
+/// A gap between ticks that shows that the process was paused.
 const PAUSE_THRESHOLD: Span = Span::from_ms(500);
--- a/src/process/lease/base.rs
+++ b/src/process/lease/base.rs
@@ -1,5 +1,5 @@
-//! A node's own two leases: the short one that its seats live by, and the long
-//! one that keeps others than its successor away.
+//! A node's own two leases: the short one, which its seats depend on, and the
+//! long one, which keeps all nodes but its successor from taking them over.
 
 use super::{
     Action,
@@ -8,8 +8,8 @@
     Purpose,
     SeatManager,
     alive_key,
-    encode, //
-    node_key,
+    encode,
+    node_key, //
 };
 use crate::{
     clock::{
@@ -28,25 +28,25 @@
     },
 };
 
-/// A call that is not answered for so long no longer holds up the next.
+/// An unanswered call blocks the next one for this long.
 const CALL_TIMEOUT: Span = Span::from_ms(250);
-/// Silence of the store that a node which wakes assumes.
+/// The store silence that a node assumes when it resumes after a pause.
 const ASSUMED_SILENCE_ON_RESUME: Span = Span::from_ms(600);
 const INITIAL_BACKOFF: Span = Span::from_ms(250);
 const MAX_BACKOFF: Span = Span::from_secs(4);
 
-/// One call for the node's own leases.
+/// A store call that concerns the node's own leases.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Step {
-    /// Make the short lease.
+    /// Create the short lease.
     GrantShort,
-    /// Write the sign of life under it.
+    /// Write the liveness record under it.
     WriteAlive(Lease),
-    /// Make the long lease.
+    /// Create the long lease.
     GrantLong,
     /// Write the node's record under it, naming this successor.
     WriteNode(Lease, Option<Instance>),
-    /// Read back a record whose write was not answered.
+    /// Read back a node record whose write was not answered.
     ReadNode,
     /// Renew the short lease.
     RenewShort(Lease),
@@ -61,7 +61,7 @@
     end: Time,
 }
 
-/// The node's own two leases.
+/// The state of the node's own two leases.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnLeases {
     short_lease: Option<LeaseTerm>,
@@ -76,19 +76,20 @@
 }
 
 impl OwnLeases {
-    /// Until when a seat holds that was written under this short lease.
+    /// When a seat expires that was written under this short lease.
     pub(super) fn short_end(&self, lease: Lease) -> Option<Time> {
         let term = self.short_lease.filter(|term| term.lease == lease)?;
         self.alive_written.then_some(term.end)
     }
 
-    /// The short lease, once the sign of life is written and while it lasts.
+    /// The short lease, if it has not expired and the liveness record is
+    /// written.
     pub(super) fn live_short_lease(&self, now: Time) -> Option<Lease> {
         let term = self.short_lease.filter(|term| now < term.end)?;
         self.alive_written.then_some(term.lease)
     }
 
-    /// Until when others than the successor keep away.
+    /// Until when nodes other than the successor may not take over.
     pub(super) fn long_end(&self) -> Time {
         match (&self.node_record, self.long_lease) {
             (Some((_, node)), Some(term)) if node.lease == term.lease => term.end,
@@ -99,12 +100,12 @@
     /// The successor that the store is known to name.
     pub(super) fn named_successor(&self) -> Option<&Instance> {
         let (_, node) = self.node_record.as_ref()?;
-        let sure = !self.node_write_uncertain
+        let is_certain = !self.node_write_uncertain
             && self.long_lease.is_some_and(|term| term.lease == node.lease);
-        node.successor.as_ref().filter(|_| sure)
+        node.successor.as_ref().filter(|_| is_certain)
     }
 
-    /// Notes that the node was paused until now.
+    /// Records that the process was paused until now.
     pub(super) fn note_resumed(&mut self, now: Time) {
         let recent = Time::from_ms(
             now.as_ms()
@@ -113,7 +114,7 @@
         self.last_answered_call = self.last_answered_call.max(recent);
     }
 
-    /// Notes that the store answered a call of this time.
+    /// Records that the store answered a call made at `asked`.
     pub(super) fn note_answer(&mut self, asked: Time) {
         self.last_answered_call = self.last_answered_call.max(asked);
     }
@@ -123,7 +124,7 @@
         now.since(self.last_answered_call)
     }
 
-    /// Time that the short lease has left.
+    /// Time left on the short lease.
     pub(super) fn short_left(&self, now: Time) -> Span {
         self.short_lease
             .map_or(Span::ZERO, |term| now.until(term.end))
@@ -179,11 +180,11 @@
     }
 
     fn next_lease_step(&self, now: Time, successor: Option<&Instance>) -> Option<Step> {
-        let base = &self.own_leases;
-        let Some(short) = base.short_lease.filter(|term| now < term.end) else {
+        let leases = &self.own_leases;
+        let Some(short) = leases.short_lease.filter(|term| now < term.end) else {
             return Some(Step::GrantShort);
         };
-        if !base.alive_written {
+        if !leases.alive_written {
             return Some(Step::WriteAlive(short.lease));
         }
         if now >= short.requested_at + self.options.renew_interval {
@@ -192,24 +193,25 @@
         if !self.options.name_successor {
             return None;
         }
-        let Some(long) = base.long_lease.filter(|term| now < term.end) else {
+        let Some(long) = leases.long_lease.filter(|term| now < term.end) else {
             return Some(Step::GrantLong);
         };
-        if base.node_write_uncertain {
+        if leases.node_write_uncertain {
             return Some(Step::ReadNode);
         }
-        let node = base.node_record.as_ref().map(|(_, node)| node);
+        let node = leases.node_record.as_ref().map(|(_, node)| node);
         let named = node.and_then(|node| node.successor.as_ref());
         let current = node.is_some_and(|node| node.lease == long.lease);
-        // While the successor may believe that it alone decides, no other is
-        // named: it would not know, and two would. That also goes for an owner
-        // that was told that its successor has taken over: another that finds
-        // its name in the store would take the same seats from there.
-        let taken = now < self.claims.own_records_barred_until;
-        let fixed = self.is_frozen() || self.draining || taken;
-        let wrong = named != successor && !fixed;
-        if !current || wrong {
-            let named = if fixed { named } else { successor };
+        // The successor must not be replaced while it may believe that it alone
+        // decides: it would not learn of the change, and two nodes would
+        // decide. The same holds for an owner that was told that its successor
+        // has taken over: another node that finds itself named in the store
+        // would take the same seats from there.
+        let taken_over = now < self.claims.own_records_barred_until;
+        let successor_fixed = self.is_frozen() || self.draining || taken_over;
+        let must_rename = named != successor && !successor_fixed;
+        if !current || must_rename {
+            let named = if successor_fixed { named } else { successor };
             return Some(Step::WriteNode(long.lease, named.cloned()));
         }
         let due = long.requested_at + self.options.long_ttl.scale(0.02).min(Span::from_secs(120));
@@ -268,8 +270,9 @@
         }
     }
 
-    /// Waits longer after each lost call, by chance, so that the fleet does not
-    /// come back to the store all at once. A renewal is worth two quick tries.
+    /// Backs off exponentially, with jitter so that the fleet does not return
+    /// to the store all at once. A renewal of the short lease gets two quick
+    /// retries first.
     fn on_lease_call_lost(&mut self, now: Time, step: Step) {
         let longest = MAX_BACKOFF
             .as_ms()
@@ -292,11 +295,12 @@
             .is_some_and(|term| term.lease == lease);
         match answer {
             Answer::Swapped(_) if current => self.own_leases.alive_written = true,
-            // The answer to an earlier try was lost: the sign is there.
+            // The answer to an earlier write was lost; the record is there.
             Answer::Conflict(Some(entry)) if entry.value == lease.to_string() && current => {
                 self.own_leases.alive_written = true;
             }
-            // A sign under an earlier lease of this life, which is about to end.
+            // A liveness record under an earlier lease of this incarnation,
+            // which is about to expire.
             Answer::Conflict(Some(_)) => {
                 self.own_leases.next_call_at =
                     now + self.jitter(CALL_TIMEOUT.scale(0.5), CALL_TIMEOUT);
@@ -326,8 +330,8 @@
     }
 }
 
-/// Credits a renewal from when it was asked for: the store counts from when it
-/// took the call, which was not earlier.
+/// Extends a lease, counted from when the renewal was requested: the store
+/// counts from when it handled the call, which was not earlier.
 fn extend_term(term: &mut Option<LeaseTerm>, lease: Lease, asked: Time, length: Span) {
     if let Some(term) = term.as_mut().filter(|term| term.lease == lease) {
         term.requested_at = term.requested_at.max(asked);
--- a/src/process/lease/claim.rs
+++ b/src/process/lease/claim.rs
@@ -1,9 +1,9 @@
-//! Taking a seat through the store.
+//! Acquiring a seat through the store.
 //!
-//! The seat's record is read first, then the owner's sign of life, then the
-//! owner's own record, and last the seat is swapped on the revision read first.
-//! The order matters: an owner that was found without a sign of life can only
-//! come back by swapping the seat itself, which makes the last swap fail.
+//! Reads the seat's record first, then the owner's liveness record, then the
+//! owner's node record, and finally swaps the seat at the revision that was
+//! read first. The order matters: an owner without a liveness record can only
+//! come back by swapping the seat itself, which makes the final swap fail.
 
 use std::collections::{
     BTreeMap,
@@ -24,10 +24,10 @@
     SeatRecord,
     alive_key,
     decode,
-    encode, //
+    encode,
     is_gone,
     node_key,
-    seat_key,
+    seat_key, //
 };
 use crate::{
     clock::{
@@ -47,11 +47,12 @@
 };
 
 const CALL_TIMEOUT: Span = Span::from_ms(1500);
-/// Silence of an owner from which on its successor looks often.
+/// Silence of an owner after which its successor checks the store often.
 const OWNER_SILENCE_THRESHOLD: Span = Span::from_ms(1200);
-/// Seats that are looked at together, at most.
+/// Maximum number of seats that are being acquired at the same time.
 const MAX_CONCURRENT_CLAIMS: usize = 32;
-/// How long a question about a seat keeps this node interested in it.
+/// How long a report of an unreachable owner keeps this node trying to acquire
+/// the seat.
 const REPORT_TTL: Span = Span::from_secs(1);
 
 /// What was read of a seat that has another owner.
@@ -63,7 +64,7 @@
     read_at: Time,
 }
 
-/// A write that makes a seat this node's.
+/// A write that makes this node the owner of a seat.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Claim {
     seat: Seat,
@@ -75,43 +76,44 @@
     previous_owner: Option<NodeLife>,
 }
 
-/// One call to take a seat.
+/// A store call in the course of acquiring a seat.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Step {
     /// Read the seat's record.
     ReadSeat(Seat),
-    /// Read the owner's sign of life.
+    /// Read the owner's liveness record.
     ReadAlive(SeatRead),
-    /// Read the owner's record.
+    /// Read the owner's node record.
     ReadNode(SeatRead),
     /// Swap the seat's record.
     Write(Claim),
 }
 
-/// The seats that this node tries to take.
+/// The seats that this node is trying to acquire.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claims {
-    /// Until when this life may not touch the records that name it.
+    /// Until when this incarnation may not rewrite the records that name it.
     pub(super) own_records_barred_until: Time,
-    /// Seats whose call is under way, and until when it is waited for.
+    /// Seats with a call in flight, and until when its answer is awaited.
     in_flight: BTreeMap<Seat, Time>,
     next_attempt: BTreeMap<Seat, Time>,
-    /// Seats that others asked this node about, as their owner did not answer.
+    /// Seats whose owner did not answer, as reported by others, and when.
     reported: BTreeMap<Seat, Time>,
-    /// Writes that may be under way, or may yet take effect, against these owners.
+    /// Seats with a write that may be in flight or may still take effect, and
+    /// the owner that it would replace.
     uncertain_writes: BTreeMap<Seat, NodeLife>,
-    /// The latest write of each seat, to know it again when its answer is lost.
+    /// The latest write of each seat, to recognize it when the answer is lost.
     last_writes: BTreeMap<Seat, (u64, Lease)>,
     last_write_id: u64,
 }
 
 impl Claims {
-    /// Whether anybody asks about seats here.
+    /// Whether others have reported seats with an unreachable owner.
     pub(super) fn has_reports(&self) -> bool {
         !self.reported.is_empty()
     }
 
-    /// Whether a write against this owner may be under way.
+    /// Whether a write that replaces this owner may be in flight.
     pub(super) fn may_write_against(&self, owner: &NodeLife) -> bool {
         self.uncertain_writes
             .values()
@@ -198,8 +200,9 @@
             },
         };
         // Once the write may have taken effect, the store lets others have the
-        // seat as soon as the short lease ends: the time alone counts no more.
-        // Else a node whose answer is lost would go on beside the next owner.
+        // seat as soon as the short lease expires, so the time limit of a
+        // takeover no longer counts. Otherwise a node that misses the answer
+        // would hold the seat beside the next owner.
         if let Step::Write(claim) = &step {
             let sent = (claim.write_id, claim.lease);
             self.claims.last_writes.insert(claim.seat.clone(), sent);
@@ -257,9 +260,9 @@
         }
     }
 
-    /// Notes that somebody asks this node for what the seat gives, as the owner
-    /// that it knew does not answer. A look at the store follows, though not at
-    /// every such question.
+    /// Notes that another node asked this one about a seat because the owner it
+    /// knew did not answer. A read of the store follows, but not for every such
+    /// report.
     pub fn note_unreachable_owner(&mut self, now: Time, seat: &Seat) {
         if !self.held.contains_key(seat) && !self.draining {
             self.claims.reported.insert(seat.clone(), now);
@@ -313,8 +316,9 @@
         }
     }
 
-    /// The store names this life. Either the answer to its write was lost, or
-    /// its lease had ended since and it takes the seat anew.
+    /// The store names this incarnation as owner. Either the answer to its
+    /// write was lost, or its lease has expired since and it acquires the seat
+    /// anew.
     fn on_own_seat_read(
         &mut self,
         now: Time,
@@ -337,7 +341,7 @@
         if self.claims.last_writes.get(&claim.seat) == Some(&(claim.write_id, lease)) {
             return self.on_claimed(now, claim);
         }
-        // Whoever held it all the time goes on with what it counted.
+        // An owner that held the seat without interruption keeps its state.
         let right = self.ownership(now, &claim.seat).map(|right| right.epoch);
         claim.continued_epoch = right.filter(|epoch| *epoch == claim.epoch);
         claim.epoch = Epoch(claim.epoch.0 + 2);
@@ -362,8 +366,9 @@
             .insert(found.seat.clone(), owner.instance.clone());
         let epoch = found.record.epoch;
         if !self.has_taken_over_seat(now, &owner, &found.seat, epoch) {
-            let free = self.has_bound_seat_ended(now, &owner, &found.seat, epoch, found.read_at);
-            let step = if free {
+            let has_ended =
+                self.has_bound_seat_ended(now, &owner, &found.seat, epoch, found.read_at);
+            let step = if has_ended {
                 Step::ReadNode
             } else {
                 Step::ReadAlive
@@ -397,8 +402,9 @@
         }
     }
 
-    /// The owner lives. One look at it answers for all seats of a ward, and the
-    /// longer a ward is silent though it lives, the fewer looks it is worth.
+    /// The owner is alive. One check answers for all seats of an owner that
+    /// this node is the successor of, and the longer such an owner is silent
+    /// though alive, the less often it is checked.
     fn on_owner_alive(&mut self, now: Time, found: SeatRead) {
         let owner_state = self.owner_seats(now, &found.record.owner);
         let Some((seats, silent)) =
@@ -458,8 +464,8 @@
         self.start_step(now, Step::Write(claim), out);
     }
 
-    /// A late answer to an earlier write is no news: a later one has been sent
-    /// since, and has another number.
+    /// Ignores late answers to earlier writes: a later write, with another
+    /// number, has been sent since.
     fn on_claimed(&mut self, now: Time, claim: Claim) {
         if self.claims.last_writes.get(&claim.seat) != Some(&(claim.write_id, claim.lease)) {
             return;
@@ -471,7 +477,7 @@
             self.remove_owner_seat(previous_owner, &claim.seat);
         }
         self.owner_hints.remove(&claim.seat);
-        // The right may have ended while the write was under way.
+        // The ownership may have expired while the write was in flight.
         let still = self.ownership(now, &claim.seat).map(|right| right.epoch);
         let continued_epoch = claim
             .continued_epoch
--- a/src/process/lease/pair.rs
+++ b/src/process/lease/pair.rs
@@ -1,4 +1,5 @@
-//! The owner's side of succession: living by the successor's promises.
+//! The owner's side of succession: keeping seats on the successor's promises
+//! while the store is unreachable.
 
 use std::collections::BTreeMap;
 
@@ -25,35 +26,38 @@
     },
 };
 
-/// Time between wishes.
+/// Time between [`Extend`] messages.
 const EXTEND_INTERVAL: Span = Span::from_ms(250);
-/// Silence of the store, beyond the time between renewals, after which the owner turns to its successor.
+/// Silence of the store, beyond the renewal interval, after which the owner
+/// depends on its successor's promises.
 const STORE_SILENCE_THRESHOLD: Span = Span::from_ms(1500);
 /// Silence of the successor after which the owner names another.
 const SUCCESSOR_SILENCE_LIMIT: Span = Span::from_ms(700);
 /// How long a node that was silent is not named again.
 const AVOID_DURATION: Span = Span::from_secs(10);
-/// Silence of the successor after which the owner does not turn to it.
+/// Silence of the successor after which the owner does not switch to its
+/// promises.
 const SUCCESSOR_PRESENT_WITHIN: Span = Span::from_ms(1200);
 
 /// What an owner knows of its successor.
 #[derive(Clone, Debug)]
 pub(super) struct SuccessorState {
     instance: Instance,
-    /// The owner lives by promises. It ends only when the successor has agreed.
+    /// The seats depend on promises alone. This ends only when the successor
+    /// has agreed, or can hold nothing any more.
     pub(super) frozen: bool,
-    /// The owner's seats hold no longer than the successor's promises.
+    /// The owner's seats expire no later than the successor's promises.
     pub(super) bound: bool,
-    /// The successor has agreed that the owner's seats are free.
+    /// The successor has acknowledged that the owner's seats are free.
     pub(super) release_acknowledged: bool,
     frozen_lease: Option<Lease>,
     frozen_short_end: Time,
     pub(super) promise_end: Time,
     named_at: Time,
     last_reply: Option<(u64, Time)>,
-    /// The last wish in which it was told that the owner is frozen.
+    /// Sequence number of the last message that reported [`State::Frozen`].
     last_frozen_sequence: u64,
-    /// It promised nothing when asked last.
+    /// The last answer contained no promise.
     promise_refused: bool,
     sequence: u64,
     sent_at: BTreeMap<u64, Time>,
@@ -80,21 +84,21 @@
         }
     }
 
-    /// Ends the bond when the last promise has: the successor may have begun to
-    /// take the seats, and they have to be written anew.
+    /// Ends the binding when the last promise has expired: the successor may
+    /// have begun to take the seats, so they have to be written anew.
     pub(super) fn expire_binding(&mut self, now: Time) {
         if self.bound && now >= self.promise_end {
             self.bound = false;
         }
     }
 
-    /// Who it is.
+    /// The successor's instance name.
     pub(super) fn instance(&self) -> &Instance {
         &self.instance
     }
 
-    /// Until when a seat holds that was written under this short lease, while
-    /// the owner lives by promises. Renewals count no more.
+    /// When a seat expires that was written under this short lease, while the
+    /// owner is frozen. Renewals no longer count.
     pub(super) fn valid_until(&self, lease: Lease, short: Time) -> Time {
         if self.frozen_lease != Some(lease) {
             return Time::ZERO;
@@ -114,7 +118,8 @@
             return;
         };
         let silent = self.is_store_silent(now);
-        // A silent successor would promise nothing, and could not agree to thaw.
+        // A silent successor would promise nothing, and could not agree to
+        // thaw.
         let is_present = successor
             .last_reply
             .is_some_and(|(_, at)| now.since(at) < SUCCESSOR_PRESENT_WITHIN);
@@ -136,8 +141,9 @@
         }
     }
 
-    /// Seats that hold in the store's name, or would hold with the next promise. One that lapsed may
-    /// have another owner, so the successor must not be told of it.
+    /// Seats that are valid under the short lease, or would be with the next
+    /// promise. An expired seat may have another owner, so the successor must
+    /// not be told of it.
     pub(super) fn renewable_seats(&self, now: Time) -> Vec<(Seat, Epoch)> {
         let frozen = self
             .successor_state
@@ -153,8 +159,9 @@
             .collect()
     }
 
-    /// Follows the store's record of who is the successor. A former one loses
-    /// nothing that it could still use: it was never frozen, or agreed to thaw.
+    /// Adopts the successor that the store names. This takes nothing from a
+    /// former successor that it could still use: the owner was never frozen
+    /// under it, or it agreed to thaw.
     fn sync_successor(&mut self, now: Time) {
         if self.is_frozen() || self.draining {
             return;
@@ -175,9 +182,9 @@
         }
     }
 
-    /// A former successor may have read its name in the store before it was
-    /// replaced, and may yet write. So the seats hold no longer than it promised,
-    /// until they are written anew, which makes its write fail.
+    /// Limits the seats to the last promise of a successor that is replaced. It
+    /// may have read its own name in the store before and may yet write, so its
+    /// write must be made to fail by writing the seats anew.
     fn cap_at_last_promise(&mut self) {
         let Some(end) = self
             .successor_state
@@ -194,8 +201,8 @@
         }
     }
 
-    /// From a promise on, seats hold no longer than promises do, and a successor
-    /// may take over as soon as they have ended.
+    /// Once a promise is received, seats expire no later than the promises, and
+    /// the successor may take over as soon as they have expired.
     fn bind_to_promises(&mut self, now: Time) {
         let half_promise = self.options.promise_ttl.scale(0.5);
         if let Some(successor) = &mut self.successor_state
@@ -206,7 +213,7 @@
         }
     }
 
-    /// The best node to name as successor that has not been silent of late.
+    /// The best candidate for successor that has not been silent recently.
     pub(super) fn choose_successor<'a>(
         &mut self,
         now: Time,
@@ -218,8 +225,8 @@
             let heard = successor
                 .last_reply
                 .map_or(successor.named_at, |(_, at)| at);
-            let bare = successor.bound && successor.promise_refused;
-            if now.since(heard) > SUCCESSOR_SILENCE_LIMIT || bare {
+            let refused_while_bound = successor.bound && successor.promise_refused;
+            if now.since(heard) > SUCCESSOR_SILENCE_LIMIT || refused_while_bound {
                 self.avoided_successors
                     .insert(successor.instance.clone(), now + AVOID_DURATION);
             }
@@ -229,29 +236,31 @@
         others.find(|instance| !self.avoided_successors.contains_key(*instance))
     }
 
-    /// Goes back to the store alone when the successor has been silent for so
-    /// long that, had it taken over, its time would be over too: it counts from
-    /// the clock that it last told, which was before this owner heard it.
+    /// Depends on the store alone again when the successor has been silent for
+    /// so long that any takeover by it must have ended: a takeover is counted
+    /// from the clock reading that it last sent, which precedes the receipt of
+    /// that message.
     fn thaw_without_successor(&mut self, now: Time) {
-        let over = self.options.takeover_limit + self.options.clock_margin;
+        let takeover_end = self.options.takeover_limit + self.options.clock_margin;
         let live = self.own_leases.live_short_lease(now);
         let Some(successor) = &self.successor_state else {
             return;
         };
-        let gone = successor
+        let takeover_ended = successor
             .last_reply
-            .is_none_or(|(_, at)| now.since(at) > over);
-        if successor.frozen && gone && live.is_some() {
+            .is_none_or(|(_, at)| now.since(at) > takeover_end);
+        if successor.frozen && takeover_ended && live.is_some() {
             self.thaw(live, PromiseStatus::NoPromise);
         }
     }
 
-    /// Whether the store has not been heard for longer than renewals take.
+    /// Whether the store has been silent for longer than renewals explain.
     ///
-    /// Guards against a thaw in the outage itself: the short lease lives on for
-    /// a while after the store has fallen silent, and an owner that asked its
-    /// successor to thaw on that ground lost its seats when the lease ended,
-    /// without a successor that knew of it. Only word from the store thaws.
+    /// Prevents a thaw during a store outage: the short lease stays alive for a
+    /// while after the store goes silent. An owner that took this for recovery
+    /// and asked its successor to thaw lost its seats when the lease expired,
+    /// without a successor that knew of it. Only an answer from the store
+    /// allows a thaw.
     fn is_store_silent(&self, now: Time) -> bool {
         self.own_leases.store_silence(now) > STORE_SILENCE_THRESHOLD + self.options.renew_interval
     }
@@ -324,7 +333,7 @@
         ));
     }
 
-    /// Tells the successor that all seats are free, until it has heard it.
+    /// Tells the successor that all seats are free, until it acknowledges.
     pub(super) fn send_release(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.successor_state.is_some() {
             self.send_extend(now, out);
@@ -360,8 +369,8 @@
         }
         match (reply.promise_status, reply.state) {
             (PromiseStatus::TakenOver, _) => self.yield_to_successor(now),
-            // An agreement to thaw that was overtaken by another "frozen" is void:
-            // the successor may go alone on the later word.
+            // An agreement to thaw is void if a later message said "frozen":
+            // the successor may take over on the strength of the later one.
             (promise_status, State::Thawing)
                 if successor.frozen && reply.sequence > successor.last_frozen_sequence =>
             {
@@ -371,8 +380,9 @@
         }
     }
 
-    /// The successor no longer believes that it alone decides. If it promised
-    /// once more, nobody has taken a seat, and they go on under the new lease.
+    /// Returns to the short lease once the successor no longer believes that it
+    /// alone decides. If it promised once more, nobody has taken a seat, and
+    /// the seats go on under the new lease.
     fn thaw(&mut self, live: Option<Lease>, promise_status: PromiseStatus) {
         let Some(lease) = live else {
             return;
@@ -384,8 +394,8 @@
         successor.frozen = false;
         let kept = promise_status == PromiseStatus::Promise;
         successor.bound = kept && successor.bound;
-        // The old lease may still be the new one, so without a promise the seats
-        // go at once: the successor may have taken them.
+        // The old lease may still be the new one, so without a promise the
+        // seats are dropped at once: the successor may have taken them.
         let old = old.map(Basis::ShortLease);
         self.held.retain(|_, held| kept || old != Some(held.basis));
         for held in self.held.values_mut() {
@@ -395,9 +405,9 @@
         }
     }
 
-    /// The successor has taken over without the store. This life owns nothing any
-    /// more, and leaves what the store has under its name to the successor for as
-    /// long as that may go on alone.
+    /// Drops all seats because the successor has taken over without the store.
+    /// For as long as that takeover may last, this incarnation leaves the store
+    /// records under its name to the successor.
     fn yield_to_successor(&mut self, now: Time) {
         self.held
             .retain(|_, held| matches!(held.basis, Basis::Takeover(_)));
--- a/src/process/lease/ward.rs
+++ b/src/process/lease/ward.rs
@@ -1,5 +1,6 @@
-//! The successor's side of succession: promising to keep still, and taking
-//! over when the owner can no longer live by what was promised.
+//! The successor's side of succession: promising not to take an owner's seats,
+//! and taking them over once the promises and the owner's short lease have
+//! expired.
 
 use super::{
     Action,
@@ -21,7 +22,7 @@
     Time, //
 };
 
-/// Silence of an owner after which its successor asks the store.
+/// Silence of an owner after which its successor checks the store.
 const OWNER_SILENCE_THRESHOLD: Span = Span::from_ms(1200);
 
 /// What a successor knows of an owner.
@@ -30,17 +31,18 @@
     state: State,
     sequence: u64,
     last_heard: Time,
-    /// When the last promise was given, and until when it lasts.
+    /// When the last promise was given; `promise_end` is when it expires.
     promised_at: Option<Time>,
     promise_end: Time,
     short_lease_end: Time,
-    /// Until when it may go on alone.
+    /// Until when a takeover without the store may last.
     takeover_end: Option<Time>,
     seats: Vec<(Seat, Epoch)>,
-    /// An earlier life of this successor may have taken over, or this one has
-    /// taken seats in the store: no promise until the owner is calm again.
+    /// Set when an earlier incarnation of this successor may have taken over,
+    /// or this one has taken seats in the store: no promise until the owner
+    /// reports [`State::Normal`].
     promise_barred: bool,
-    /// Taken over without the store.
+    /// This node has taken over without the store.
     taken_over: bool,
 }
 
@@ -60,26 +62,26 @@
         }
     }
 
-    fn update(&mut self, now: Time, extend: &Extend, margin: Span, solo: Span) {
+    fn update(&mut self, now: Time, extend: &Extend, clock_margin: Span, takeover_limit: Span) {
         self.sequence = extend.sequence;
         self.state = extend.state;
         self.last_heard = now;
-        self.short_lease_end = now + extend.short_left + margin;
-        // The owner counted its long lease from when it had heard this clock
-        // stand at `heard`, so this never lasts longer than the store's count,
-        // however long the message was under way.
+        self.short_lease_end = now + extend.short_left + clock_margin;
+        // The owner counted its long lease from when it received the clock
+        // reading `echoed_clock`, so this ends no later than the lease in the
+        // store, however long the message was in transit.
         let echoed = extend.echoed_clock.map(Time::from_ms);
-        self.takeover_end = echoed.map(|at| at + extend.long_left.min(solo));
+        self.takeover_end = echoed.map(|at| at + extend.long_left.min(takeover_limit));
         self.seats.clone_from(&extend.seats);
     }
 
-    /// Whether it has taken over without the store and its time is not over.
+    /// Whether a takeover without the store is in effect.
     fn is_takeover_active(&self, now: Time) -> bool {
         self.taken_over && self.takeover_end.is_some_and(|end| now < end)
     }
 
-    /// Whether the owner's right has certainly ended, as far as this successor
-    /// promised and was told.
+    /// Whether the owner's seats have certainly expired, given what this
+    /// successor promised and was told.
     fn has_ended(&self, now: Time) -> bool {
         match self.state {
             State::Released => true,
@@ -92,9 +94,9 @@
 impl SeatManager {
     pub(super) fn on_extend(&mut self, now: Time, extend: Extend, out: &mut Vec<Action>) {
         let Options {
-            clock_margin: margin,
-            promise_ttl: promise,
-            takeover_limit: solo,
+            clock_margin,
+            promise_ttl,
+            takeover_limit,
             ..
         } = self.options;
         let claiming = self.claims.may_write_against(&extend.owner);
@@ -112,9 +114,9 @@
             owner_state.sequence = extend.sequence;
             owner_state.last_heard = now;
         } else {
-            owner_state.update(now, &extend, margin, solo);
-            // While an own write against this owner may be under way, there is
-            // no promise: it could take effect afterwards.
+            owner_state.update(now, &extend, clock_margin, takeover_limit);
+            // No promise while a write of this node against the owner may be in
+            // flight: it could take effect afterwards.
             if !owner_state.promise_barred
                 && !claiming
                 && !draining
@@ -122,7 +124,7 @@
             {
                 promise_status = PromiseStatus::Promise;
                 owner_state.promised_at = Some(now);
-                owner_state.promise_end = now + promise + margin;
+                owner_state.promise_end = now + promise_ttl + clock_margin;
             }
             if extend.state == State::Normal && !claiming {
                 owner_state.promise_barred = false;
@@ -139,7 +141,7 @@
         out.push(Action::Send(extend.owner.instance, Message::Reply(reply)));
     }
 
-    /// Takes over without the store what can have no other owner.
+    /// Takes over, without the store, seats that can have no other owner.
     pub(super) fn owners_tick(&mut self, now: Time) {
         if self.draining {
             return;
@@ -177,7 +179,7 @@
         });
     }
 
-    /// Seats of owners that have fallen silent.
+    /// Seats of owners that are silent or have been taken over.
     pub(super) fn seats_of_silent_owners(&self, now: Time) -> Vec<Seat> {
         let silent = |owner_state: &&OwnerState| {
             now.since(owner_state.last_heard) > OWNER_SILENCE_THRESHOLD
@@ -189,10 +191,10 @@
             .collect()
     }
 
-    /// Whether this successor has the owner's place without the store. Once its
-    /// time alone is over, the owner may have come back through the store.
-    /// What the owner wrote in the store afterwards, of other seats that it took
-    /// over itself, is not meant.
+    /// Whether this node has taken over the seat without the store. Once the
+    /// takeover has ended, the owner may have come back through the store. Only
+    /// listed seats and epochs count, not seats that the owner itself took over
+    /// and wrote to the store afterwards.
     pub(super) fn has_taken_over_seat(
         &self,
         now: Time,
@@ -209,29 +211,29 @@
         })
     }
 
-    /// Whether a promise, or one of an earlier life, forbids to take over from
-    /// this owner on what was read of it at `read`.
-    pub(super) fn is_bound_by_promise(&self, now: Time, owner: &NodeLife, read: Time) -> bool {
+    /// Whether a promise, possibly one of an earlier incarnation, forbids a
+    /// takeover from this owner that is based on a store read at `read_at`.
+    pub(super) fn is_bound_by_promise(&self, now: Time, owner: &NodeLife, read_at: Time) -> bool {
         let Some(owner_state) = self.owners.get(owner) else {
-            let born = self.started_at.unwrap_or(now);
-            return now < born + self.options.promise_ttl + self.options.short_ttl;
+            let started_at = self.started_at.unwrap_or(now);
+            return now < started_at + self.options.promise_ttl + self.options.short_ttl;
         };
         let promised = owner_state
             .promised_at
-            .is_some_and(|promised| promised >= read);
+            .is_some_and(|promised| promised >= read_at);
         promised || now <= owner_state.promise_end
     }
 
-    /// Notes that a write against the owner is about to be sent. Should its
-    /// answer be lost, it may take effect much later, so there is no promise
-    /// until the owner has written its seats anew and says that it is calm.
+    /// Notes that a write against the owner is about to be sent. If its answer
+    /// is lost it may take effect much later, so there is no promise until the
+    /// owner has written its seats anew and reports [`State::Normal`].
     pub(super) fn bar_promises(&mut self, owner: &NodeLife) {
         if let Some(owner_state) = self.owners.get_mut(owner) {
             owner_state.promise_barred = true;
         }
     }
 
-    /// Notes that a seat of the owner is this node's now, or another's.
+    /// Notes that the owner no longer has the seat.
     pub(super) fn remove_owner_seat(&mut self, owner: &NodeLife, seat: &Seat) {
         if let Some(owner_state) = self.owners.get_mut(owner) {
             owner_state.promise_barred = true;
@@ -243,34 +245,34 @@
 
     /// Whether this node is the successor of the seat's owner.
     pub fn is_successor_for(&self, seat: &Seat) -> bool {
-        let of = |owner_state: &OwnerState| {
+        let has_seat = |owner_state: &OwnerState| {
             owner_state
                 .seats
                 .iter()
                 .any(|(listed_seat, _)| listed_seat == seat)
         };
-        self.owners.values().any(of)
+        self.owners.values().any(has_seat)
     }
 
-    /// Whether the owner's seat held no longer than promises, and they are over. An
-    /// owner that writes the seat anew gives it another number.
+    /// Whether the owner's seat depended on promises and these have expired. An
+    /// owner that writes the seat anew gives it another epoch.
     pub(super) fn has_bound_seat_ended(
         &self,
         now: Time,
         owner: &NodeLife,
         seat: &Seat,
         epoch: Epoch,
-        read: Time,
+        read_at: Time,
     ) -> bool {
         let listed = |(listed_seat, listed_epoch): &(Seat, Epoch)| {
             listed_seat == seat && *listed_epoch == epoch
         };
-        let bound =
+        let depends_on_promises =
             |owner_state: &&OwnerState| matches!(owner_state.state, State::Bound | State::Frozen);
-        let owner_state = self.owners.get(owner).filter(bound);
+        let owner_state = self.owners.get(owner).filter(depends_on_promises);
         owner_state.is_some_and(|owner_state| {
             owner_state.seats.iter().any(listed) && now > owner_state.short_lease_end
-        }) && !self.is_bound_by_promise(now, owner, read)
+        }) && !self.is_bound_by_promise(now, owner, read_at)
     }
 
     /// Seats of the owner, and how long it has been silent.
@@ -284,10 +286,10 @@
         Some((seats, now.since(owner_state.last_heard)))
     }
 
-    /// Forgets a seat in wards whose owners have lost it.
+    /// Removes the seat from all other owners, which have lost it.
     pub(super) fn forget_seat_of_others(&mut self, seat: &Seat, owner: &NodeLife) {
-        for (party, owner_state) in &mut self.owners {
-            if party != owner {
+        for (other, owner_state) in &mut self.owners {
+            if other != owner {
                 owner_state
                     .seats
                     .retain(|(listed_seat, _)| listed_seat != seat);
