--- a/src/process/quota.rs
+++ b/src/process/quota.rs
@@ -56,7 +56,7 @@
 
 /// The tokens of one grant, as owner and holder name them to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Batch {
+pub struct BatchId {
     /// The right under which it was made.
     pub epoch: Epoch,
     /// Its place under that right.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Return {
     /// The batch.
-    pub batch: Batch,
+    pub batch: BatchId,
     /// Tokens given back since it was granted.
     pub unused: u32,
     /// Tokens whose requests have certainly begun.
@@ -98,7 +98,7 @@
     /// Some tokens.
     Granted {
         /// Their name.
-        batch: Batch,
+        batch: BatchId,
         /// How many.
         tokens: u32,
         /// How long, counted by the holder from when it asked.
--- a/src/process/quota/bank.rs
+++ b/src/process/quota/bank.rs
@@ -38,20 +38,20 @@
 use std::collections::BTreeMap;
 
 use self::{
-    account::Account,
+    account::Borrower,
     mint::{
         Mint,
-        Share, //
+        ServerShare, //
     },
     placement::Placement,
 };
 pub use self::{
     account::WaitingCounts,
     message::{
-        Delegated,
-        Lent,
+        BorrowRequest, //
+        DelegatedPart,
+        LendReply,
         Message,
-        Wish, //
     },
 };
 use super::{
@@ -80,7 +80,7 @@
 pub const JOIN_DELAY: Span = Span::from_ms(4500);
 /// A server that left so many wishes in a row unanswered is passed over, and for
 /// how long. A single message may be lost.
-const SILENT_AFTER: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 const SILENT_SERVER_TIMEOUT: Span = Span::from_secs(2);
 /// How long a part is given to an earlier server. One that dies is missed for this
 /// long, until the others mint their own parts again.
@@ -90,46 +90,46 @@
 
 /// Wishes that a server left unanswered since its last answer.
 #[derive(Clone, Copy, Debug)]
-struct Silence {
-    wishes: u32,
+struct ServerSilence {
+    unanswered: u32,
     last: Time,
 }
 
-impl Silence {
-    fn is_passed_over(self, now: Time) -> bool {
-        self.wishes >= SILENT_AFTER && now.since(self.last) < SILENT_SERVER_TIMEOUT
+impl ServerSilence {
+    fn is_skipped(self, now: Time) -> bool {
+        self.unanswered >= MAX_UNANSWERED && now.since(self.last) < SILENT_SERVER_TIMEOUT
     }
 }
 
 /// This node's part in sharing all rates, as a borrower and as a server.
 #[derive(Clone, Debug)]
 pub struct Bank {
-    me: Peer,
+    local: Peer,
     limits: BTreeMap<Team, (Rate, u32)>,
     placement: Placement,
     mint: Mint,
-    accounts: BTreeMap<Team, Account>,
-    silent: BTreeMap<Instance, Silence>,
+    borrowers: BTreeMap<Team, Borrower>,
+    silences: BTreeMap<Instance, ServerSilence>,
     /// When open questions for parts were sent.
-    asked_parts: BTreeMap<u64, Time>,
-    next_number: u64,
+    part_requests: BTreeMap<u64, Time>,
+    last_number: u64,
     outbox: Vec<(Instance, Message)>,
 }
 
 impl Bank {
     /// A bank without teams and servers.
-    pub fn new(me: Peer) -> Self {
+    pub fn new(local: Peer) -> Self {
         // No number of an earlier life is used again: its answers may still come.
-        let next_number = me.incarnation.0;
+        let last_number = local.incarnation.0;
         Self {
-            me,
+            local,
             limits: BTreeMap::new(),
             placement: Placement::default(),
             mint: Mint::default(),
-            accounts: BTreeMap::new(),
-            silent: BTreeMap::new(),
-            asked_parts: BTreeMap::new(),
-            next_number,
+            borrowers: BTreeMap::new(),
+            silences: BTreeMap::new(),
+            part_requests: BTreeMap::new(),
+            last_number,
             outbox: Vec::new(),
         }
     }
@@ -141,40 +141,40 @@
             .map(|team| (team.name.clone(), (team.rate, team.burst)))
             .collect();
         let limits = &self.limits;
-        self.accounts.retain(|team, _| limits.contains_key(team));
-        self.place(now);
+        self.borrowers.retain(|team, _| limits.contains_key(team));
+        self.place_teams(now);
     }
 
     /// Learns until when this node may mint, and among which nodes the servers
     /// are chosen.
     pub fn update_nodes(&mut self, now: Time, until: Time, nodes: &[&Peer]) {
-        self.mint.extend(now, until);
-        if !self.placement.has(nodes) {
-            self.placement.adopt(nodes);
-            self.place(now);
+        self.mint.extend_right(now, until);
+        if !self.placement.has_nodes(nodes) {
+            self.placement.set_nodes(nodes);
+            self.place_teams(now);
         }
     }
 
     /// Finds the servers of all teams.
-    fn place(&mut self, now: Time) {
-        let me = &self.me.instance;
+    fn place_teams(&mut self, now: Time) {
+        let me = &self.local.instance;
         let mut shares = BTreeMap::new();
         for (team, (rate, burst)) in &self.limits {
             let servers = self.placement.servers(team);
-            if let Some(place) = servers.iter().position(|server| server == me) {
-                let share = Share {
-                    place,
-                    later: servers[place + 1..].to_vec(),
+            if let Some(rank) = servers.iter().position(|server| server == me) {
+                let share = ServerShare {
+                    rank,
+                    later_servers: servers[rank + 1..].to_vec(),
                     rate: *rate,
                     burst: u64::from(*burst) * MILLIS_PER_TOKEN,
                 };
                 shares.insert(team.clone(), share);
             }
-            if let Some(account) = self.accounts.get_mut(team) {
-                account.place(servers);
+            if let Some(borrower) = self.borrowers.get_mut(team) {
+                borrower.set_servers(servers);
             }
         }
-        self.mint.serve(now, shares);
+        self.mint.set_shares(now, shares);
     }
 
     /// Takes a token for one root request of the team, beside which these others
@@ -192,42 +192,42 @@
         if rate.as_millis() == 0 {
             return Charge::Taken(Grant(0));
         }
-        if !self.accounts.contains_key(team) {
-            let account = Account::new(now, self.placement.servers(team));
-            self.accounts.insert(team.clone(), account);
+        if !self.borrowers.contains_key(team) {
+            let borrower = Borrower::new(now, self.placement.servers(team));
+            self.borrowers.insert(team.clone(), borrower);
         }
-        let Some(account) = self.accounts.get_mut(team) else {
+        let Some(borrower) = self.borrowers.get_mut(team) else {
             return Charge::OverRate;
         };
         let mut waiting = others;
         waiting.add(importance);
-        account.set_waiting(waiting);
-        let mut taken = account.take(now, importance);
+        borrower.set_waiting(waiting);
+        let mut taken = borrower.take(now, importance);
         if !taken {
-            self.ask(now, team);
-            let account = self.accounts.get_mut(team);
-            taken = account.is_some_and(|account| account.take(now, importance));
+            self.borrow(now, team);
+            let borrower = self.borrowers.get_mut(team);
+            taken = borrower.is_some_and(|borrower| borrower.take(now, importance));
         }
         if !taken {
             return Charge::Pending;
         }
-        if let Some(account) = self.accounts.get_mut(team) {
-            account.set_waiting(others);
+        if let Some(borrower) = self.borrowers.get_mut(team) {
+            borrower.set_waiting(others);
         }
-        self.ask(now, team);
+        self.borrow(now, team);
         Charge::Taken(Grant(0))
     }
 
     /// Whether the team is over its rate: no server had a token lately.
     pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
-        let account = self.accounts.get(team);
-        account.is_some_and(|account| account.is_over(now))
+        let borrower = self.borrowers.get(team);
+        borrower.is_some_and(|borrower| borrower.is_over_rate(now))
     }
 
     /// The time until the team has a token again, as far as its servers told.
     pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
-        let account = self.accounts.get(team);
-        account.map_or(Span::ZERO, |account| account.wait(now))
+        let borrower = self.borrowers.get(team);
+        borrower.map_or(Span::ZERO, |borrower| borrower.time_until_token(now))
     }
 
     /// The servers of a team in the order in which this node asks them.
@@ -237,8 +237,8 @@
 
     /// Gives a token back, as its request was not run.
     pub fn give_back(&mut self, team: &Team) {
-        if let Some(account) = self.accounts.get_mut(team) {
-            account.give_back();
+        if let Some(borrower) = self.borrowers.get_mut(team) {
+            borrower.give_back();
         }
     }
 
@@ -252,12 +252,12 @@
                 }
                 None
             }
-            Message::Borrow { from, wish } => {
-                let lent = self.mint.lend(now, &wish);
+            Message::Borrow { from, request } => {
+                let reply = self.mint.lend(now, &request);
                 let answer = Message::Lend {
-                    team: wish.team,
-                    number: wish.number,
-                    lent,
+                    team: request.team,
+                    number: request.number,
+                    reply,
                 };
                 self.outbox.push((from, answer));
                 None
@@ -267,9 +267,9 @@
                 number,
                 teams,
             } => {
-                let parts = self.mint.give(now, &to, &teams);
+                let parts = self.mint.delegate(now, &to, &teams);
                 if !parts.is_empty() {
-                    let from = self.me.instance.clone();
+                    let from = self.local.instance.clone();
                     let answer = Message::Parts {
                         from,
                         number,
@@ -284,19 +284,23 @@
                 number,
                 parts,
             } => {
-                let asked = *self.asked_parts.get(&number)?;
+                let asked = *self.part_requests.get(&number)?;
                 for part in &parts {
-                    self.mint.take_part(now, asked, &from, part);
+                    self.mint.accept_part(now, asked, &from, part);
                 }
                 None
             }
-            Message::Lend { team, number, lent } => {
-                let account = self.accounts.get_mut(&team)?;
-                let server = account.lent(now, number, lent)?;
-                self.silent.remove(&server);
-                self.ask(now, &team);
-                let account = self.accounts.get(&team)?;
-                account.can_take(now).then_some(team)
+            Message::Lend {
+                team,
+                number,
+                reply,
+            } => {
+                let borrower = self.borrowers.get_mut(&team)?;
+                let server = borrower.on_reply(now, number, reply)?;
+                self.silences.remove(&server);
+                self.borrow(now, &team);
+                let borrower = self.borrowers.get(&team)?;
+                borrower.can_take(now).then_some(team)
             }
         }
     }
@@ -305,38 +309,41 @@
     /// whose waiting requests should try again. `waiting` tells how many of each
     /// team wait here.
     pub fn tick(&mut self, now: Time, waiting: &BTreeMap<Team, WaitingCounts>) -> Vec<Team> {
-        self.silent
+        self.silences
             .retain(|_, silence| now.since(silence.last) < SILENT_SERVER_TIMEOUT);
-        self.accounts
-            .retain(|_, account| !account.is_idle(now, ACCOUNT_IDLE_TIMEOUT));
-        let mut back: BTreeMap<Instance, Vec<(Team, u64)>> = BTreeMap::new();
-        let mut wanting = Vec::new();
-        for (team, account) in &mut self.accounts {
-            account.measure(now);
-            account.set_waiting(waiting.get(team).copied().unwrap_or_default());
-            if let Some(silent) = account.overdue(now) {
-                let silence = self.silent.entry(silent).or_insert(Silence {
-                    wishes: 0,
+        self.borrowers
+            .retain(|_, borrower| !borrower.is_idle(now, ACCOUNT_IDLE_TIMEOUT));
+        let mut returns: BTreeMap<Instance, Vec<(Team, u64)>> = BTreeMap::new();
+        let mut waiting_teams = Vec::new();
+        for (team, borrower) in &mut self.borrowers {
+            borrower.update_demand(now);
+            borrower.set_waiting(waiting.get(team).copied().unwrap_or_default());
+            if let Some(silent) = borrower.take_overdue(now) {
+                let silence = self.silences.entry(silent).or_insert(ServerSilence {
+                    unanswered: 0,
                     last: now,
                 });
-                silence.wishes += 1;
+                silence.unanswered += 1;
                 silence.last = now;
             }
-            for (server, millis) in account.surplus(now) {
-                back.entry(server).or_default().push((team.clone(), millis));
+            for (server, millis) in borrower.take_returns(now) {
+                returns
+                    .entry(server)
+                    .or_default()
+                    .push((team.clone(), millis));
             }
-            if account.is_waited_for() {
-                wanting.push(team.clone());
+            if borrower.has_waiting() {
+                waiting_teams.push(team.clone());
             }
         }
-        self.deposit(now, back);
-        self.want_parts(now);
-        for team in &wanting {
-            self.ask(now, team);
+        self.deposit(now, returns);
+        self.request_parts(now);
+        for team in &waiting_teams {
+            self.borrow(now, team);
         }
-        let can_take = |team: &Team| self.accounts.get(team).is_some_and(|a| a.can_take(now));
-        wanting.retain(can_take);
-        wanting
+        let can_take = |team: &Team| self.borrowers.get(team).is_some_and(|a| a.can_take(now));
+        waiting_teams.retain(can_take);
+        waiting_teams
     }
 
     /// Messages to be sent.
@@ -344,24 +351,24 @@
         std::mem::take(&mut self.outbox)
     }
 
-    fn want_parts(&mut self, now: Time) {
-        self.asked_parts
+    fn request_parts(&mut self, now: Time) {
+        self.part_requests
             .retain(|_, asked| now.since(*asked) < DELEGATION_LIFE);
         for (server, teams) in self.mint.wanted_parts(now) {
-            self.next_number += 1;
-            self.asked_parts.insert(self.next_number, now);
+            self.last_number += 1;
+            self.part_requests.insert(self.last_number, now);
             let message = Message::WantParts {
-                from: self.me.instance.clone(),
-                number: self.next_number,
+                from: self.local.instance.clone(),
+                number: self.last_number,
                 teams,
             };
             self.outbox.push((server, message));
         }
     }
 
-    fn deposit(&mut self, now: Time, back: BTreeMap<Instance, Vec<(Team, u64)>>) {
-        for (server, tokens) in back {
-            if server != self.me.instance {
+    fn deposit(&mut self, now: Time, returns: BTreeMap<Instance, Vec<(Team, u64)>>) {
+        for (server, tokens) in returns {
+            if server != self.local.instance {
                 self.outbox.push((server, Message::Deposit(tokens)));
                 continue;
             }
@@ -372,23 +379,26 @@
     }
 
     /// Asks servers for what a team lacks here, this node itself without a message.
-    fn ask(&mut self, now: Time, team: &Team) {
-        let Some(account) = self.accounts.get_mut(team) else {
+    fn borrow(&mut self, now: Time, team: &Team) {
+        let Some(borrower) = self.borrowers.get_mut(team) else {
             return;
         };
         let is_silent = |instance: &Instance| {
-            let silence = self.silent.get(instance);
-            silence.is_some_and(|silence| silence.is_passed_over(now))
+            let silence = self.silences.get(instance);
+            silence.is_some_and(|silence| silence.is_skipped(now))
         };
-        while let Some((server, wish)) = account.ask(now, team, self.next_number + 1, is_silent) {
-            self.next_number += 1;
-            if server != self.me.instance {
-                let from = self.me.instance.clone();
-                self.outbox.push((server, Message::Borrow { from, wish }));
+        while let Some((server, request)) =
+            borrower.next_request(now, team, self.last_number + 1, is_silent)
+        {
+            self.last_number += 1;
+            if server != self.local.instance {
+                let from = self.local.instance.clone();
+                self.outbox
+                    .push((server, Message::Borrow { from, request }));
                 return;
             }
-            let lent = self.mint.lend(now, &wish);
-            account.lent(now, wish.number, lent);
+            let reply = self.mint.lend(now, &request);
+            borrower.on_reply(now, request.number, reply);
         }
     }
 }
--- a/src/process/quota/bank/account.rs
+++ b/src/process/quota/bank/account.rs
@@ -1,8 +1,8 @@
 //! The borrower's side: one team's tokens at this node.
 
 use super::message::{
-    Lent,
-    Wish, //
+    BorrowRequest, //
+    LendReply,
 };
 use crate::{
     clock::{
@@ -19,8 +19,8 @@
 
 /// How long tokens may be used that calls wait for, and that are borrowed ahead.
 /// They count against their server's bucket for as long.
-const WAITED_LIFE: Span = Span::from_ms(40);
-const AHEAD_LIFE: Span = Span::from_ms(150);
+const WAITING_LOAN_LIFE: Span = Span::from_ms(40);
+const PREFETCH_LOAN_LIFE: Span = Span::from_ms(150);
 /// Time before the end of a loan at which the rest is given back.
 const RETURN_BEFORE_END: Span = Span::from_ms(20);
 /// A node borrows when what it holds lasts no longer than this many seconds.
@@ -30,8 +30,8 @@
 /// An unanswered wish is given up after this.
 pub(super) const ANSWER_TIMEOUT: Span = Span::from_ms(60);
 /// The least and the longest time before a server without tokens is asked again.
-const SHORTEST_PAUSE: Span = Span::from_ms(20);
-const LONGEST_PAUSE: Span = Span::from_ms(100);
+const MIN_PAUSE: Span = Span::from_ms(20);
+const MAX_PAUSE: Span = Span::from_ms(100);
 /// The time before a server is asked again that mints nothing now.
 const NOT_SERVING_PAUSE: Span = Span::from_ms(250);
 /// How long the refusal of a server proves that a team is over its rate.
@@ -59,7 +59,7 @@
     }
 
     /// How many of this importance wait.
-    pub fn of(&self, importance: Importance) -> u32 {
+    pub fn count(&self, importance: Importance) -> u32 {
         self.0[importance as usize]
     }
 
@@ -71,7 +71,7 @@
     /// The importances of those that wait, highest first.
     fn importances(&self) -> impl Iterator<Item = Importance> {
         let all = Importance::ALL.into_iter().rev();
-        all.filter(|importance| self.of(*importance) > 0)
+        all.filter(|importance| self.count(*importance) > 0)
     }
 }
 
@@ -82,20 +82,20 @@
     tokens: u32,
     end: Time,
     /// The least importance that may use it.
-    least: Importance,
+    min_importance: Importance,
 }
 
 impl Loan {
     fn fits(&self, now: Time, importance: Importance) -> bool {
-        now < self.end && self.tokens > 0 && importance >= self.least
+        now < self.end && self.tokens > 0 && importance >= self.min_importance
     }
 }
 
 /// A wish without an answer.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     number: u64,
-    at: Time,
+    sent_at: Time,
     importance: Importance,
     server: Instance,
     life: Span,
@@ -103,22 +103,22 @@
 
 /// A server of the team, as this node knows it.
 #[derive(Clone, Debug)]
-struct Server {
+struct KnownServer {
     instance: Instance,
     /// Until when asking is of no use, by importance.
-    pause: [Time; IMPORTANCE_COUNT],
+    paused_until: [Time; IMPORTANCE_COUNT],
     /// When it last had no token, and when it will have one.
-    empty: Option<(Time, Time)>,
+    last_empty: Option<(Time, Time)>,
     /// When it last said that it mints none.
-    idle: Option<Time>,
+    last_not_serving: Option<Time>,
 }
 
 /// One team's tokens at this node.
 #[derive(Clone, Debug)]
-pub(super) struct Account {
-    servers: Vec<Server>,
+pub(super) struct Borrower {
+    servers: Vec<KnownServer>,
     loans: Vec<Loan>,
-    asked: Option<Asked>,
+    pending: Option<PendingRequest>,
     /// A part of a token that a server without a whole one had.
     fraction: u64,
     /// Tokens whose requests were not run.
@@ -126,43 +126,43 @@
     waiting: WaitingCounts,
     demand: f64,
     taken: u32,
-    window: Time,
-    used: Time,
+    window_start: Time,
+    last_used: Time,
 }
 
-impl Account {
+impl Borrower {
     pub(super) fn new(now: Time, servers: Vec<Instance>) -> Self {
-        let mut account = Self {
+        let mut borrower = Self {
             servers: Vec::new(),
             loans: Vec::new(),
-            asked: None,
+            pending: None,
             fraction: 0,
             returned: 0,
             waiting: WaitingCounts::default(),
             demand: 0.0,
             taken: 0,
-            window: now,
-            used: now,
+            window_start: now,
+            last_used: now,
         };
-        account.place(servers);
-        account
+        borrower.set_servers(servers);
+        borrower
     }
 
     /// Goes by these servers from now on, in this order.
-    pub(super) fn place(&mut self, servers: Vec<Instance>) {
-        let mut former = std::mem::take(&mut self.servers);
+    pub(super) fn set_servers(&mut self, servers: Vec<Instance>) {
+        let mut previous = std::mem::take(&mut self.servers);
         for instance in servers {
-            let known = former.iter().position(|s| s.instance == instance);
+            let known = previous.iter().position(|s| s.instance == instance);
             self.servers.push(match known {
-                Some(place) => former.swap_remove(place),
-                None => Server::new(instance),
+                Some(place) => previous.swap_remove(place),
+                None => KnownServer::new(instance),
             });
         }
     }
 
     /// Takes a token that is here.
     pub(super) fn take(&mut self, now: Time, importance: Importance) -> bool {
-        self.used = now;
+        self.last_used = now;
         let usable = |loan: &&mut Loan| loan.fits(now, importance);
         let Some(loan) = self.loans.iter_mut().find(usable) else {
             return false;
@@ -182,7 +182,7 @@
         self.waiting = waiting;
     }
 
-    pub(super) fn is_waited_for(&self) -> bool {
+    pub(super) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
@@ -191,199 +191,205 @@
     }
 
     /// Whether every server of the team had no token lately.
-    pub(super) fn is_over(&self, now: Time) -> bool {
-        let is_empty = |server: &Server| server.empty.is_some();
+    pub(super) fn is_over_rate(&self, now: Time) -> bool {
+        let is_empty = |server: &KnownServer| server.last_empty.is_some();
         let servers = &self.servers;
-        servers.iter().any(is_empty) && servers.iter().all(|server| server.is_spent(now))
+        servers.iter().any(is_empty) && servers.iter().all(|server| server.has_no_tokens(now))
     }
 
     /// The time until a server has a token again, as far as they told.
-    pub(super) fn wait(&self, now: Time) -> Span {
-        let ready = self.servers.iter().filter_map(|server| server.empty);
+    pub(super) fn time_until_token(&self, now: Time) -> Span {
+        let ready = self.servers.iter().filter_map(|server| server.last_empty);
         let first = ready.map(|(_, ready)| ready).min();
         first.map_or(Span::ZERO, |ready| now.until(ready))
     }
 
     /// The next wish and the server that it goes to, unless one is under way.
-    pub(super) fn ask(
+    pub(super) fn next_request(
         &mut self,
         now: Time,
         team: &Team,
         number: u64,
         is_silent: impl Fn(&Instance) -> bool,
-    ) -> Option<(Instance, Wish)> {
-        if self.asked.is_some() {
+    ) -> Option<(Instance, BorrowRequest)> {
+        if self.pending.is_some() {
             return None;
         }
-        let (importance, want) = self.wants(now)?;
+        let (importance, want) = self.needed(now)?;
         let life = match self.waiting.is_empty() {
-            true => AHEAD_LIFE,
-            false => WAITED_LIFE,
+            true => PREFETCH_LOAN_LIFE,
+            false => WAITING_LOAN_LIFE,
         };
-        let (silent, speaking): (Vec<_>, Vec<_>) = self
+        let (silent, responsive): (Vec<_>, Vec<_>) = self
             .servers
             .iter()
             .partition(|server| is_silent(&server.instance));
         // A silent one may still have what no other mints.
-        let is_idle = |server: &&Server| {
+        let is_not_serving = |server: &&KnownServer| {
             server
-                .idle
+                .last_not_serving
                 .is_some_and(|at| now.since(at) <= OVER_RATE_MEMORY)
         };
-        let silent = match speaking.iter().all(is_idle) {
+        let silent = match responsive.iter().all(is_not_serving) {
             true => silent,
             false => Vec::new(),
         };
-        let servers = speaking.into_iter().chain(silent);
-        let mut servers = servers.filter(|server| server.pause[importance as usize] <= now);
+        let servers = responsive.into_iter().chain(silent);
+        let mut servers = servers.filter(|server| server.paused_until[importance as usize] <= now);
         let server = servers.next()?.instance.clone();
         let last = servers.next().is_none();
-        let wish = Wish {
+        let request = BorrowRequest {
             team: team.clone(),
             number,
             want,
             importance,
-            brings: std::mem::take(&mut self.fraction),
+            brought_millis: std::mem::take(&mut self.fraction),
             life,
             last,
         };
-        self.asked = Some(Asked {
+        self.pending = Some(PendingRequest {
             number,
-            at: now,
+            sent_at: now,
             importance,
             server: server.clone(),
             life,
         });
-        Some((server, wish))
+        Some((server, request))
     }
 
     /// What to borrow, and for which importance: for the most important calls that
     /// wait, else ahead. Nothing is borrowed ahead that would likely not be used in
     /// time, or while servers have none.
-    fn wants(&self, now: Time) -> Option<(Importance, u32)> {
+    fn needed(&self, now: Time) -> Option<(Importance, u32)> {
         let ahead = self.demand * PREFETCH_SECONDS;
         let scarce = self.servers.iter().any(|server| {
-            let low = server.pause[Importance::Low as usize];
+            let low = server.paused_until[Importance::Low as usize];
             now < low
         });
         for importance in self.waiting.importances() {
-            let waiting = self.waiting.of(importance);
-            let held = self.held(now, importance);
+            let waiting = self.waiting.count(importance);
+            let held = self.usable_tokens(now, importance);
             if waiting > held {
                 let more = if scarce { 0 } else { ahead as u32 };
                 return Some((importance, waiting - held + more));
             }
         }
-        let low = f64::from(self.held(now, Importance::Critical)) < self.demand * RESERVE_SECONDS;
-        let likely = ahead >= 1.0 && low && !scarce && self.waiting.is_empty();
-        likely.then_some((Importance::Low, ahead as u32))
+        let low = f64::from(self.usable_tokens(now, Importance::Critical))
+            < self.demand * RESERVE_SECONDS;
+        let worthwhile = ahead >= 1.0 && low && !scarce && self.waiting.is_empty();
+        worthwhile.then_some((Importance::Low, ahead as u32))
     }
 
-    fn held(&self, now: Time, importance: Importance) -> u32 {
+    fn usable_tokens(&self, now: Time, importance: Importance) -> u32 {
         let usable = self.loans.iter().filter(|loan| loan.fits(now, importance));
         usable.map(|loan| loan.tokens).sum()
     }
 
     /// Takes the answer to the open wish, and names the server that gave it.
-    pub(super) fn lent(&mut self, now: Time, number: u64, lent: Lent) -> Option<Instance> {
-        let asked = self.asked.take_if(|asked| asked.number == number)?;
-        self.fraction += lent.fraction;
-        if lent.tokens > 0 {
+    pub(super) fn on_reply(
+        &mut self,
+        now: Time,
+        number: u64,
+        reply: LendReply,
+    ) -> Option<Instance> {
+        let pending = self.pending.take_if(|pending| pending.number == number)?;
+        self.fraction += reply.fraction;
+        if reply.tokens > 0 {
             self.loans.push(Loan {
-                server: asked.server.clone(),
-                tokens: lent.tokens,
-                end: asked.at + asked.life,
-                least: asked.importance,
+                server: pending.server.clone(),
+                tokens: reply.tokens,
+                end: pending.sent_at + pending.life,
+                min_importance: pending.importance,
             });
         }
         let server = self
             .servers
             .iter_mut()
-            .find(|server| server.instance == asked.server);
+            .find(|server| server.instance == pending.server);
         if let Some(server) = server {
-            server.answered(now, asked.importance, lent);
+            server.on_reply(now, pending.importance, reply);
         }
-        Some(asked.server)
+        Some(pending.server)
     }
 
     /// Gives up a wish that got no answer, and names the silent server.
-    pub(super) fn overdue(&mut self, now: Time) -> Option<Instance> {
-        let late = |asked: &mut Asked| now.since(asked.at) >= ANSWER_TIMEOUT;
-        self.asked.take_if(late).map(|asked| asked.server)
+    pub(super) fn take_overdue(&mut self, now: Time) -> Option<Instance> {
+        let late = |pending: &mut PendingRequest| now.since(pending.sent_at) >= ANSWER_TIMEOUT;
+        self.pending.take_if(late).map(|pending| pending.server)
     }
 
     /// What goes back to servers: loans that will hardly be used in time, tokens
     /// whose requests were not run, and a fraction that no server asked for.
-    pub(super) fn surplus(&mut self, now: Time) -> Vec<(Instance, u64)> {
-        let mut back = Vec::new();
+    pub(super) fn take_returns(&mut self, now: Time) -> Vec<(Instance, u64)> {
+        let mut returns = Vec::new();
         let over = |loan: &mut Loan| loan.tokens == 0 || now + RETURN_BEFORE_END >= loan.end;
         for loan in self.loans.extract_if(.., over) {
             if loan.tokens > 0 && now < loan.end {
-                back.push((loan.server, u64::from(loan.tokens) * MILLIS_PER_TOKEN));
+                returns.push((loan.server, u64::from(loan.tokens) * MILLIS_PER_TOKEN));
             }
         }
         let rest = u64::from(std::mem::take(&mut self.returned)) * MILLIS_PER_TOKEN;
-        let rest = match self.asked {
+        let rest = match self.pending {
             Some(_) => rest,
             None => rest + std::mem::take(&mut self.fraction),
         };
         if let Some(first) = self.servers.first().filter(|_| rest > 0) {
-            back.push((first.instance.clone(), rest));
+            returns.push((first.instance.clone(), rest));
         }
-        back
+        returns
     }
 
-    pub(super) fn measure(&mut self, now: Time) {
-        let span = now.since(self.window);
+    pub(super) fn update_demand(&mut self, now: Time) {
+        let span = now.since(self.window_start);
         if span >= DEMAND_WINDOW {
             let recent = f64::from(self.taken) / span.as_secs_f64();
             self.demand += (recent - self.demand) * DEMAND_EWMA_WEIGHT;
             self.taken = 0;
-            self.window = now;
+            self.window_start = now;
         }
     }
 
     /// Whether nothing was asked of it for this long.
     pub(super) fn is_idle(&self, now: Time, span: Span) -> bool {
-        now.since(self.used) >= span && self.asked.is_none() && self.loans.is_empty()
+        now.since(self.last_used) >= span && self.pending.is_none() && self.loans.is_empty()
     }
 }
 
-impl Server {
+impl KnownServer {
     fn new(instance: Instance) -> Self {
         Self {
             instance,
-            pause: [Time::ZERO; IMPORTANCE_COUNT],
-            empty: None,
-            idle: None,
+            paused_until: [Time::ZERO; IMPORTANCE_COUNT],
+            last_empty: None,
+            last_not_serving: None,
         }
     }
 
     /// Whether it had no token lately, or none that it might mint.
-    fn is_spent(&self, now: Time) -> bool {
-        let empty = self.empty.map(|(at, _)| at);
+    fn has_no_tokens(&self, now: Time) -> bool {
+        let empty = self.last_empty.map(|(at, _)| at);
         empty
-            .max(self.idle)
+            .max(self.last_not_serving)
             .is_some_and(|at| now.since(at) <= OVER_RATE_MEMORY)
     }
 
-    fn answered(&mut self, now: Time, importance: Importance, lent: Lent) {
-        if lent.tokens > 0 {
-            self.empty = None;
-            self.idle = None;
+    fn on_reply(&mut self, now: Time, importance: Importance, reply: LendReply) {
+        if reply.tokens > 0 {
+            self.last_empty = None;
+            self.last_not_serving = None;
             return;
         }
-        let pause = match lent.serving {
+        let pause = match reply.serving {
             true => {
-                self.empty = Some((now, now + lent.wait));
-                lent.wait.max(SHORTEST_PAUSE).min(LONGEST_PAUSE)
+                self.last_empty = Some((now, now + reply.wait));
+                reply.wait.max(MIN_PAUSE).min(MAX_PAUSE)
             }
             false => {
-                self.idle = Some(now);
+                self.last_not_serving = Some(now);
                 NOT_SERVING_PAUSE
             }
         };
         // What a server lacks for one importance it lacks for lesser ones.
-        self.pause[..=importance as usize].fill(now + pause);
+        self.paused_until[..=importance as usize].fill(now + pause);
     }
 }
--- a/src/process/quota/bank/message.rs
+++ b/src/process/quota/bank/message.rs
@@ -29,7 +29,7 @@
         from: Instance,
         /// The wish.
         #[serde(rename = "w")]
-        wish: Wish,
+        request: BorrowRequest,
     },
     /// The answer to a wish.
     Lend {
@@ -41,7 +41,7 @@
         number: u64,
         /// What is lent.
         #[serde(rename = "l")]
-        lent: Lent,
+        reply: LendReply,
     },
     /// An earlier server of these teams wants the parts of a later one.
     WantParts {
@@ -65,13 +65,13 @@
         number: u64,
         /// What it gives.
         #[serde(rename = "p")]
-        parts: Vec<Delegated>,
+        parts: Vec<DelegatedPart>,
     },
 }
 
 /// A part of a team's rate that a server leaves to an earlier one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Delegated {
+pub struct DelegatedPart {
     /// The team.
     #[serde(rename = "t")]
     pub team: Team,
@@ -85,7 +85,7 @@
 
 /// A wish for tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct BorrowRequest {
     /// For which team.
     #[serde(rename = "t")]
     pub team: Team,
@@ -101,7 +101,7 @@
     /// Thousandths of a token that another server had left, for this one to
     /// make up a whole token with.
     #[serde(rename = "b")]
-    pub brings: u64,
+    pub brought_millis: u64,
     /// How long what is lent may be used: by the asker from when it asked, by the
     /// server from when it lent.
     #[serde(rename = "u")]
@@ -113,7 +113,7 @@
 
 /// A server's answer to a wish.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct LendReply {
     /// Whole tokens.
     #[serde(rename = "k")]
     pub tokens: u32,
--- a/src/process/quota/bank/placement.rs
+++ b/src/process/quota/bank/placement.rs
@@ -27,13 +27,13 @@
 
 impl Placement {
     /// Whether these are the nodes known already.
-    pub(super) fn has(&self, nodes: &[&Peer]) -> bool {
+    pub(super) fn has_nodes(&self, nodes: &[&Peer]) -> bool {
         let known = self.nodes.iter().map(|node| &node.instance);
         self.nodes.len() == nodes.len() && known.eq(nodes.iter().map(|peer| &peer.instance))
     }
 
     /// Goes by these nodes from now on.
-    pub(super) fn adopt(&mut self, nodes: &[&Peer]) {
+    pub(super) fn set_nodes(&mut self, nodes: &[&Peer]) {
         let node = |peer: &&Peer| Node {
             hash: xxh3_64(peer.instance.as_str().as_bytes()),
             instance: peer.instance.clone(),
@@ -45,21 +45,21 @@
     /// the same.
     pub(super) fn servers(&self, team: &Team) -> Vec<Instance> {
         let team = xxh3_64(team.as_str().as_bytes());
-        let mut best: Vec<(u64, &Node)> = Vec::with_capacity(SERVERS + 1);
+        let mut ranked: Vec<(u64, &Node)> = Vec::with_capacity(SERVERS + 1);
         for node in &self.nodes {
-            let weight = mix(node.hash, team);
-            let place = best.partition_point(|(other, _)| *other >= weight);
-            if place < SERVERS {
-                best.insert(place, (weight, node));
-                best.truncate(SERVERS);
+            let weight = combine_hashes(node.hash, team);
+            let rank = ranked.partition_point(|(other, _)| *other >= weight);
+            if rank < SERVERS {
+                ranked.insert(rank, (weight, node));
+                ranked.truncate(SERVERS);
             }
         }
-        let names = best.into_iter().map(|(_, node)| node.instance.clone());
-        names.collect()
+        let instances = ranked.into_iter().map(|(_, node)| node.instance.clone());
+        instances.collect()
     }
 }
 
-fn mix(one: u64, other: u64) -> u64 {
+fn combine_hashes(one: u64, other: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&one.to_le_bytes());
     bytes[8..].copy_from_slice(&other.to_le_bytes());
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -5,7 +5,7 @@
 use super::{
     Ask,
     Bank,
-    Batch,
+    BatchId,
     Bucket,
     Charge,
     Message,
@@ -34,30 +34,30 @@
 };
 
 /// A grant is sized for so much of the recent demand.
-const HORIZON: Span = Span::from_ms(150);
+const GRANT_HORIZON: Span = Span::from_ms(150);
 /// More is asked for when what is left lasts no longer than this.
-const RESERVE: Span = Span::from_ms(50);
+const LOW_WATERMARK: Span = Span::from_ms(50);
 /// Time kept at the end of a grant for its requests to begin.
-const BEGIN: Span = Span::from_ms(100);
+const START_MARGIN: Span = Span::from_ms(100);
 /// A shared token is spent when it is taken, and binds its request no more.
-const LASTING: Span = Span::from_secs(3600);
+const BANK_TOKEN_LIFE: Span = Span::from_secs(3600);
 /// Time that an attempt may be under way to a node whose clock is not known.
-const TRANSIT: Span = Span::from_ms(20);
+const TRANSIT_ALLOWANCE: Span = Span::from_ms(20);
 /// Two clocks differ by at most one part in so many.
-const DRIFT: u64 = 1000;
+const CLOCK_DRIFT_DIVISOR: u64 = 1000;
 /// Time after which an unanswered wish is repeated.
-const REPEAT: Span = Span::from_ms(40);
+const RETRY_INTERVAL: Span = Span::from_ms(40);
 /// Age at which a wish is given up for a new one.
-const STALE: Span = Span::from_ms(160);
+const MAX_ASK_AGE: Span = Span::from_ms(160);
 /// Time after which the quota owner counts as unreachable.
-const PATIENCE: Span = Span::from_ms(800);
+const OWNER_TIMEOUT: Span = Span::from_ms(800);
 /// Time between wishes while the quota owner is unreachable.
-const PROBE: Span = Span::from_ms(200);
+const PROBE_INTERVAL: Span = Span::from_ms(200);
 /// How often demand is measured.
-const WINDOW: Span = Span::from_ms(100);
-const WANT_LIMIT: u32 = 10_000;
+const DEMAND_WINDOW: Span = Span::from_ms(100);
+const MAX_WANT: u32 = 10_000;
 /// Time after which a team without demand is forgotten.
-const IDLE: Span = Span::from_secs(30);
+const ACCOUNT_IDLE_TIMEOUT: Span = Span::from_secs(30);
 
 /// How the fleet shares a rate. All but the first are there to compare with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -74,41 +74,41 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldGrant {
     grant: Grant,
-    batch: Batch,
+    batch: BatchId,
     end: Time,
-    left: u32,
+    unspent: u32,
     taken: u32,
     unused: u32,
     begun: u32,
-    told: (u32, Time),
+    reported: (u32, Time),
 }
 
 #[derive(Clone, Debug)]
-struct Wish {
+struct PendingAsk {
     number: u64,
-    asked: Time,
-    sent: Time,
+    first_sent: Time,
+    last_sent: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Account {
-    held: Vec<Held>,
-    wish: Option<Wish>,
-    over: Time,
+struct TeamGrants {
+    held: Vec<HeldGrant>,
+    pending_ask: Option<PendingAsk>,
+    over_rate_until: Time,
     scarce: bool,
-    silent: Option<Time>,
-    unreachable: bool,
+    unanswered_since: Option<Time>,
+    owner_unreachable: bool,
     waiting: u32,
     demand: f64,
-    wishes: u32,
-    window: Time,
-    used: Time,
+    recent_takes: u32,
+    window_start: Time,
+    last_used: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Share {
+struct FixedShare {
     rate: Rate,
     burst: u64,
     bucket: Bucket,
@@ -116,7 +116,7 @@
 
 /// How another node's clock stood when its last report came.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerClock {
     life: Incarnation,
     clock: u64,
     at: Time,
@@ -125,31 +125,31 @@
 /// The tokens that a node holds.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    me: Instance,
+    instance: Instance,
     life: Incarnation,
     mode: Mode,
-    accounts: BTreeMap<Team, Account>,
-    shares: BTreeMap<Team, Share>,
-    next_wish: u64,
-    next_grant: u64,
+    team_grants: BTreeMap<Team, TeamGrants>,
+    fixed_shares: BTreeMap<Team, FixedShare>,
+    last_ask_number: u64,
+    last_grant: u64,
     outbox: Vec<(Team, Message)>,
-    clocks: BTreeMap<Instance, Heard>,
+    peer_clocks: BTreeMap<Instance, PeerClock>,
     bank: Option<Bank>,
 }
 
 impl Holder {
     /// A holder without tokens.
-    pub fn new(me: Instance, life: Incarnation) -> Self {
+    pub fn new(instance: Instance, life: Incarnation) -> Self {
         Self {
-            me,
+            instance,
             life,
             mode: Mode::default(),
-            accounts: BTreeMap::new(),
-            shares: BTreeMap::new(),
-            next_wish: 0,
-            next_grant: 0,
+            team_grants: BTreeMap::new(),
+            fixed_shares: BTreeMap::new(),
+            last_ask_number: 0,
+            last_grant: 0,
             outbox: Vec::new(),
-            clocks: BTreeMap::new(),
+            peer_clocks: BTreeMap::new(),
             bank: None,
         }
     }
@@ -182,12 +182,12 @@
                 .percent(u64::from(percent))
                 .split(u64::from(nodes));
             let burst = u64::from(team.burst) * MILLIS_PER_TOKEN * u64::from(percent) / 100;
-            let fresh = Share {
+            let share = FixedShare {
                 rate,
                 burst: burst / u64::from(nodes.max(1)),
                 bucket: Bucket::empty(now),
             };
-            self.shares.entry(team.name.clone()).or_insert(fresh);
+            self.fixed_shares.entry(team.name.clone()).or_insert(share);
         }
     }
 
@@ -209,20 +209,20 @@
 
     /// The same, where rates have owners.
     pub fn take(&mut self, now: Time, team: &Team) -> Charge {
-        if let Some(charge) = self.take_share(now, team) {
+        if let Some(charge) = self.take_from_fixed_share(now, team) {
             return charge;
         }
         let central = self.mode == Mode::Central;
-        let account = self
-            .accounts
+        let grants = self
+            .team_grants
             .entry(team.clone())
-            .or_insert_with(|| Account::new(now));
-        account.used = now;
-        account.wishes += 1;
-        let charge = account.take(now);
+            .or_insert_with(|| TeamGrants::new(now));
+        grants.last_used = now;
+        grants.recent_takes += 1;
+        let charge = grants.take(now);
         match charge {
-            Charge::Taken(_) if account.is_low(now) && !central => self.ask(now, team),
-            Charge::Pending if account.wish.is_none() => self.ask(now, team),
+            Charge::Taken(_) if grants.is_low(now) && !central => self.send_ask(now, team),
+            Charge::Pending if grants.pending_ask.is_none() => self.send_ask(now, team),
             _ => {}
         }
         charge
@@ -236,12 +236,12 @@
         if let Some(bank) = &mut self.bank {
             return bank.give_back(team);
         }
-        if let Some(held) = self.find(team, grant)
+        if let Some(held) = self.find_grant(team, grant)
             && held.taken > 0
             && now < held.end
         {
             held.taken -= 1;
-            held.left += 1;
+            held.unspent += 1;
         }
     }
 
@@ -264,7 +264,7 @@
     /// Its owner may then fill the token's place in the burst again. Until it
     /// hears of it, or the grant ends, the token counts as outstanding.
     pub fn mark_begun(&mut self, team: &Team, grant: Grant) {
-        if let Some(held) = self.find(team, grant)
+        if let Some(held) = self.find_grant(team, grant)
             && held.taken > 0
         {
             held.taken -= 1;
@@ -275,24 +275,24 @@
     /// Time left in which the request that took this token may begin.
     pub fn time_left(&self, now: Time, team: &Team, grant: Grant) -> Option<Span> {
         if self.bank.is_some() {
-            return Some(LASTING);
+            return Some(BANK_TOKEN_LIFE);
         }
         if grant == Grant(0) {
-            return Some(BEGIN);
+            return Some(START_MARGIN);
         }
-        let account = self.accounts.get(team)?;
-        let held = account.held.iter().find(|held| held.grant == grant)?;
+        let grants = self.team_grants.get(team)?;
+        let held = grants.held.iter().find(|held| held.grant == grant)?;
         (now < held.end).then(|| now.until(held.end))
     }
 
     /// Notes how another node's clock stands.
     pub fn record_peer_clock(&mut self, now: Time, peer: &Instance, life: Incarnation, clock: u64) {
-        let heard = Heard {
+        let clock_reading = PeerClock {
             life,
             clock,
             at: now,
         };
-        self.clocks.insert(peer.clone(), heard);
+        self.peer_clocks.insert(peer.clone(), clock_reading);
     }
 
     /// Until when a root may begin at another node, when its token has this time
@@ -305,36 +305,44 @@
         life: Incarnation,
         left: Span,
     ) -> Begin {
-        match self.clocks.get(peer).filter(|heard| heard.life == life) {
-            Some(heard) => {
-                let passed = now.since(heard.at).as_ms();
-                let clock = heard.clock + passed - passed / DRIFT;
+        match self
+            .peer_clocks
+            .get(peer)
+            .filter(|clock_reading| clock_reading.life == life)
+        {
+            Some(clock_reading) => {
+                let passed = now.since(clock_reading.at).as_ms();
+                let clock = clock_reading.clock + passed - passed / CLOCK_DRIFT_DIVISOR;
                 Begin::Clock(clock + left.as_ms())
             }
-            None => Begin::Within(left - TRANSIT),
+            None => Begin::Within(left - TRANSIT_ALLOWANCE),
         }
     }
 
     /// Takes the quota owner's answer, and says whether those who wait should
     /// try again.
     pub fn on_reply(&mut self, now: Time, team: &Team, number: u64, reply: Reply) -> bool {
-        let grant = Grant(self.next_grant + 1);
-        let Some(account) = self.accounts.get_mut(team) else {
+        let grant = Grant(self.last_grant + 1);
+        let Some(grants) = self.team_grants.get_mut(team) else {
             return false;
         };
-        let Some(wish) = account.wish.clone().filter(|wish| wish.number == number) else {
+        let Some(pending) = grants
+            .pending_ask
+            .clone()
+            .filter(|pending| pending.number == number)
+        else {
             return false;
         };
         match reply {
             Reply::NotOwner(other) => {
-                if let (Some(_), Some(wish)) = (other, &mut account.wish) {
-                    wish.sent = Time::ZERO;
+                if let (Some(_), Some(pending)) = (other, &mut grants.pending_ask) {
+                    pending.last_sent = Time::ZERO;
                 }
                 return false;
             }
             Reply::OverRate(wait) => {
-                account.over = now + wait;
-                account.scarce = true;
+                grants.over_rate_until = now + wait;
+                grants.scarce = true;
             }
             Reply::Granted {
                 batch,
@@ -342,47 +350,48 @@
                 life,
                 scarce,
             } => {
-                account.scarce = scarce;
-                self.next_grant += 1;
-                account.held.push(Held {
+                grants.scarce = scarce;
+                self.last_grant += 1;
+                grants.held.push(HeldGrant {
                     grant,
                     batch,
-                    end: wish.asked + life,
-                    left: tokens,
+                    end: pending.first_sent + life,
+                    unspent: tokens,
                     taken: 0,
                     unused: 0,
                     begun: 0,
-                    told: (0, now),
+                    reported: (0, now),
                 });
             }
         }
-        account.wish = None;
-        account.silent = None;
-        account.unreachable = false;
-        account.waiting = 0;
+        grants.pending_ask = None;
+        grants.unanswered_since = None;
+        grants.owner_unreachable = false;
+        grants.waiting = 0;
         true
     }
 
     /// Repeats wishes, gives back what will not be used, and lists the teams
     /// whose waiting requests should try again.
     pub fn tick(&mut self, now: Time) -> Vec<Team> {
-        let mut again = Vec::new();
-        let teams: Vec<Team> = self.accounts.keys().cloned().collect();
+        let mut resend = Vec::new();
+        let teams: Vec<Team> = self.team_grants.keys().cloned().collect();
         for team in teams {
-            self.hand_back(now, &team);
-            if self.nag(now, &team) {
-                again.push(team);
+            self.return_unused(now, &team);
+            if self.retry_ask(now, &team) {
+                resend.push(team);
             }
         }
-        self.accounts
-            .retain(|_, account| now.since(account.used) < IDLE || !account.held.is_empty());
-        again
+        self.team_grants.retain(|_, grants| {
+            now.since(grants.last_used) < ACCOUNT_IDLE_TIMEOUT || !grants.held.is_empty()
+        });
+        resend
     }
 
     /// Gives back everything that is not taken, as the node leaves.
     pub fn drain(&mut self) {
-        for (team, account) in &mut self.accounts {
-            let returns = account.hand_back(Time::NEVER);
+        for (team, grants) in &mut self.team_grants {
+            let returns = grants.collect_returns(Time::NEVER);
             if !returns.is_empty() {
                 self.outbox
                     .push((team.clone(), Message::Return(team.clone(), returns)));
@@ -395,13 +404,13 @@
         std::mem::take(&mut self.outbox)
     }
 
-    fn find(&mut self, team: &Team, grant: Grant) -> Option<&mut Held> {
-        let account = self.accounts.get_mut(team)?;
-        account.held.iter_mut().find(|held| held.grant == grant)
+    fn find_grant(&mut self, team: &Team, grant: Grant) -> Option<&mut HeldGrant> {
+        let grants = self.team_grants.get_mut(team)?;
+        grants.held.iter_mut().find(|held| held.grant == grant)
     }
 
-    fn take_share(&mut self, now: Time, team: &Team) -> Option<Charge> {
-        let share = self.shares.get_mut(team)?;
+    fn take_from_fixed_share(&mut self, now: Time, team: &Team) -> Option<Charge> {
+        let share = self.fixed_shares.get_mut(team)?;
         share.bucket.refill(now, share.rate, share.burst);
         if share.bucket.take(1) {
             return Some(Charge::Taken(Grant(0)));
@@ -409,49 +418,49 @@
         matches!(self.mode, Mode::Slices(_)).then_some(Charge::OverRate)
     }
 
-    fn ask(&mut self, now: Time, team: &Team) {
+    fn send_ask(&mut self, now: Time, team: &Team) {
         let central = self.mode == Mode::Central;
-        let number = self.next_wish + 1;
-        let Some(account) = self.accounts.get_mut(team) else {
+        let number = self.last_ask_number + 1;
+        let Some(grants) = self.team_grants.get_mut(team) else {
             return;
         };
-        if account.wish.is_none() {
-            self.next_wish = number;
-            account.wish = Some(Wish {
+        if grants.pending_ask.is_none() {
+            self.last_ask_number = number;
+            grants.pending_ask = Some(PendingAsk {
                 number,
-                asked: now,
-                sent: now,
+                first_sent: now,
+                last_sent: now,
             });
-            account.silent.get_or_insert(now);
+            grants.unanswered_since.get_or_insert(now);
         }
-        let Some(wish) = &mut account.wish else {
+        let Some(pending) = &mut grants.pending_ask else {
             return;
         };
-        wish.sent = now;
-        let number = wish.number;
+        pending.last_sent = now;
+        let number = pending.number;
         let want = if central {
-            account.waiting.max(1)
+            grants.waiting.max(1)
         } else {
-            account.want(now)
+            grants.want(now)
         };
         let ask = Ask {
-            from: self.me.clone(),
+            from: self.instance.clone(),
             life: self.life,
             number,
             team: team.clone(),
             want,
-            returns: account.returns(now),
+            returns: grants.pending_returns(now),
         };
         self.outbox.push((team.clone(), Message::Ask(ask)));
     }
 
-    fn hand_back(&mut self, now: Time, team: &Team) {
-        let Some(account) = self.accounts.get_mut(team) else {
+    fn return_unused(&mut self, now: Time, team: &Team) {
+        let Some(grants) = self.team_grants.get_mut(team) else {
             return;
         };
-        account.measure(now);
-        let returns = account.hand_back(now);
-        account.held.retain(|held| now < held.end);
+        grants.update_demand(now);
+        let returns = grants.collect_returns(now);
+        grants.held.retain(|held| now < held.end);
         if !returns.is_empty() {
             self.outbox
                 .push((team.clone(), Message::Return(team.clone(), returns)));
@@ -460,77 +469,83 @@
 
     /// Repeats a wish that was not answered. Says whether those who wait should
     /// learn that the quota owner is unreachable.
-    fn nag(&mut self, now: Time, team: &Team) -> bool {
-        let Some(account) = self.accounts.get_mut(team) else {
+    fn retry_ask(&mut self, now: Time, team: &Team) -> bool {
+        let Some(grants) = self.team_grants.get_mut(team) else {
             return false;
         };
-        let Some(wish) = &account.wish else {
+        let Some(pending) = &grants.pending_ask else {
             return false;
         };
-        let silence = account.silent.map_or(Span::ZERO, |since| now.since(since));
-        let told = account.unreachable;
-        account.unreachable = silence >= PATIENCE;
-        let gap = if account.unreachable { PROBE } else { REPEAT };
-        if now.since(wish.sent) >= gap {
+        let silence = grants
+            .unanswered_since
+            .map_or(Span::ZERO, |since| now.since(since));
+        let told = grants.owner_unreachable;
+        grants.owner_unreachable = silence >= OWNER_TIMEOUT;
+        let gap = if grants.owner_unreachable {
+            PROBE_INTERVAL
+        } else {
+            RETRY_INTERVAL
+        };
+        if now.since(pending.last_sent) >= gap {
             // A grant counts from when it was asked for, so an old wish would
             // bring tokens that have no time left.
-            if now.since(wish.asked) >= STALE {
-                account.wish = None;
+            if now.since(pending.first_sent) >= MAX_ASK_AGE {
+                grants.pending_ask = None;
             }
-            let wanted = now.since(account.used) < PROBE + PROBE;
-            if wanted || account.wish.is_some() {
-                self.ask(now, team);
+            let wanted = now.since(grants.last_used) < PROBE_INTERVAL + PROBE_INTERVAL;
+            if wanted || grants.pending_ask.is_some() {
+                self.send_ask(now, team);
             }
         }
-        let Some(account) = self.accounts.get_mut(team) else {
+        let Some(grants) = self.team_grants.get_mut(team) else {
             return false;
         };
-        if account.wish.is_none() {
-            account.silent = None;
-            account.unreachable = false;
+        if grants.pending_ask.is_none() {
+            grants.unanswered_since = None;
+            grants.owner_unreachable = false;
         }
-        account.unreachable && !told
+        grants.owner_unreachable && !told
     }
 }
 
-impl Account {
+impl TeamGrants {
     fn new(now: Time) -> Self {
         Self {
             held: Vec::new(),
-            wish: None,
-            over: Time::ZERO,
+            pending_ask: None,
+            over_rate_until: Time::ZERO,
             scarce: false,
-            silent: None,
-            unreachable: false,
+            unanswered_since: None,
+            owner_unreachable: false,
             waiting: 0,
             demand: 0.0,
-            wishes: 0,
-            window: now,
-            used: now,
+            recent_takes: 0,
+            window_start: now,
+            last_used: now,
         }
     }
 
     fn take(&mut self, now: Time) -> Charge {
-        let usable = |held: &&mut Held| held.left > 0 && now + BEGIN < held.end;
+        let usable = |held: &&mut HeldGrant| held.unspent > 0 && now + START_MARGIN < held.end;
         if let Some(held) = self.held.iter_mut().find(usable) {
-            held.left -= 1;
+            held.unspent -= 1;
             held.taken += 1;
             return Charge::Taken(held.grant);
         }
-        if now < self.over {
+        if now < self.over_rate_until {
             return Charge::OverRate;
         }
-        if self.unreachable {
+        if self.owner_unreachable {
             return Charge::Unavailable;
         }
         self.waiting += 1;
         Charge::Pending
     }
 
-    fn rate(&self, now: Time) -> f64 {
-        let span = now.since(self.window).as_ms().max(20) as f64 / 1000.0;
-        let recent = f64::from(self.wishes) / span;
-        match self.wishes {
+    fn demand_rate(&self, now: Time) -> f64 {
+        let span = now.since(self.window_start).as_ms().max(20) as f64 / 1000.0;
+        let recent = f64::from(self.recent_takes) / span;
+        match self.recent_takes {
             0..3 => self.demand,
             _ => self.demand.max(recent),
         }
@@ -538,58 +553,74 @@
 
     fn want(&self, now: Time) -> u32 {
         // When the bucket is low, tokens that lie here are missed elsewhere.
-        let horizon = if self.scarce { Span::ZERO } else { HORIZON };
-        let ahead = self.rate(now) * horizon.as_secs_f64();
+        let horizon = if self.scarce {
+            Span::ZERO
+        } else {
+            GRANT_HORIZON
+        };
+        let ahead = self.demand_rate(now) * horizon.as_secs_f64();
         let want = ahead.round() as u32 + self.waiting;
-        want.clamp(1, WANT_LIMIT)
+        want.clamp(1, MAX_WANT)
     }
 
     fn is_low(&self, now: Time) -> bool {
-        let usable = |held: &&Held| now + BEGIN < held.end;
-        let left: u32 = self.held.iter().filter(usable).map(|held| held.left).sum();
-        let reserve = self.rate(now) * RESERVE.as_secs_f64();
-        !self.scarce && self.wish.is_none() && now >= self.over && f64::from(left) + 0.5 < reserve
-    }
-
-    fn measure(&mut self, now: Time) {
-        let span = now.since(self.window);
-        if span >= WINDOW {
-            let recent = f64::from(self.wishes) / span.as_secs_f64();
+        let usable = |held: &&HeldGrant| now + START_MARGIN < held.end;
+        let left: u32 = self
+            .held
+            .iter()
+            .filter(usable)
+            .map(|held| held.unspent)
+            .sum();
+        let reserve = self.demand_rate(now) * LOW_WATERMARK.as_secs_f64();
+        !self.scarce
+            && self.pending_ask.is_none()
+            && now >= self.over_rate_until
+            && f64::from(left) + 0.5 < reserve
+    }
+
+    fn update_demand(&mut self, now: Time) {
+        let span = now.since(self.window_start);
+        if span >= DEMAND_WINDOW {
+            let recent = f64::from(self.recent_takes) / span.as_secs_f64();
             self.demand = (self.demand + recent) / 2.0;
-            self.wishes = 0;
-            self.window = now;
+            self.recent_takes = 0;
+            self.window_start = now;
         }
     }
 
     /// Gives up tokens of grants that are about to end. Each total is told once
     /// here, and again with every wish until its grant has ended.
-    fn hand_back(&mut self, now: Time) -> Vec<Return> {
+    fn collect_returns(&mut self, now: Time) -> Vec<Return> {
         let mut returns = Vec::new();
         for held in &mut self.held {
-            let ending = held.left > 0 && now + BEGIN >= held.end;
+            let ending = held.unspent > 0 && now + START_MARGIN >= held.end;
             if ending {
-                held.unused += held.left;
-                held.left = 0;
+                held.unused += held.unspent;
+                held.unspent = 0;
             }
             // A lost return would leave its tokens to end unused.
-            let again = held.unused > 0 && now.since(held.told.1) >= REPEAT;
-            let news = held.begun > held.told.0 && (self.scarce || again);
-            if ending || again || news {
-                held.told = (held.begun, now);
-                returns.push(held.total());
+            let resend = held.unused > 0 && now.since(held.reported.1) >= RETRY_INTERVAL;
+            let news = held.begun > held.reported.0 && (self.scarce || resend);
+            if ending || resend || news {
+                held.reported = (held.begun, now);
+                returns.push(held.to_return());
             }
         }
         returns
     }
 
-    fn returns(&self, now: Time) -> Vec<Return> {
-        let told = |held: &&Held| held.unused + held.begun > 0 && now < held.end;
-        self.held.iter().filter(told).map(Held::total).collect()
+    fn pending_returns(&self, now: Time) -> Vec<Return> {
+        let told = |held: &&HeldGrant| held.unused + held.begun > 0 && now < held.end;
+        self.held
+            .iter()
+            .filter(told)
+            .map(HeldGrant::to_return)
+            .collect()
     }
 }
 
-impl Held {
-    fn total(&self) -> Return {
+impl HeldGrant {
+    fn to_return(&self) -> Return {
         Return {
             batch: self.batch,
             unused: self.unused,
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Ask,
-    Batch,
+    BatchId,
     Bucket,
     BucketSnapshot,
     MAX_GRANT_LIFE,
@@ -30,25 +30,25 @@
     unit::Rate, //
 };
 
-const WAIT_SHORTEST: Span = Span::from_ms(20);
-const WAIT_LONGEST: Span = Span::from_ms(200);
+const MIN_WAIT: Span = Span::from_ms(20);
+const MAX_WAIT: Span = Span::from_ms(200);
 /// A holder that has not asked for so long is forgotten.
-const FORGET: Span = Span::from_secs(60);
+const HOLDER_IDLE_TIMEOUT: Span = Span::from_secs(60);
 
 #[derive(Clone, Debug)]
-struct Outstanding {
+struct OutstandingGrant {
     holder: Instance,
     life: Incarnation,
     number: u64,
     tokens: u32,
     unused: u32,
     begun: u32,
-    length: Span,
+    duration: Span,
     end: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Latest {
+struct LatestAsk {
     life: Incarnation,
     number: u64,
     at: Time,
@@ -61,18 +61,18 @@
     bucket: Bucket,
     rate: Rate,
     burst: u32,
-    next: u64,
-    granted: u64,
+    last_sequence: u64,
+    granted_millis: u64,
     inherited: bool,
-    outstanding: BTreeMap<Batch, Outstanding>,
-    latest: BTreeMap<Instance, Latest>,
+    outstanding: BTreeMap<BatchId, OutstandingGrant>,
+    latest: BTreeMap<Instance, LatestAsk>,
 }
 
 /// All teams whose quota this node owns.
 #[derive(Clone, Debug, Default)]
 pub struct Owner {
     ledgers: BTreeMap<crate::id::Team, Ledger>,
-    percent: Option<u32>,
+    withheld_percent: Option<u32>,
     inherited: BTreeMap<crate::id::Team, BucketSnapshot>,
 }
 
@@ -80,26 +80,26 @@
     /// Keeps back a share of every rate and burst, in percent, for the shares
     /// that stand at the holders.
     pub fn withhold_percent(&mut self, percent: u32) {
-        self.percent = Some(percent);
+        self.withheld_percent = Some(percent);
     }
 
     /// Answers a holder's wish under a right that holds now.
-    pub fn on_ask(&mut self, now: Time, right: Ownership, team: &Team, ask: &Ask) -> Reply {
-        let kept = 100 - u64::from(self.percent.unwrap_or(0));
-        let team = scaled(team, kept);
-        let ledger = self.ledger(right, &team);
+    pub fn on_ask(&mut self, now: Time, ownership: Ownership, team: &Team, ask: &Ask) -> Reply {
+        let kept_percent = 100 - u64::from(self.withheld_percent.unwrap_or(0));
+        let team = scale_limits(team, kept_percent);
+        let ledger = self.ledger_for(ownership, &team);
         ledger.advance(now, &team);
-        ledger.give_back(now, &ask.returns);
-        ledger.answer(now, right, ask)
+        ledger.apply_returns(now, &ask.returns);
+        ledger.grant(now, ownership, ask)
     }
 
     /// Takes tokens back. What belongs to another right, or has ended, is spent.
     pub fn on_return(&mut self, now: Time, team: &Team, returns: &[Return]) {
-        let kept = 100 - u64::from(self.percent.unwrap_or(0));
-        let team = scaled(team, kept);
+        let kept_percent = 100 - u64::from(self.withheld_percent.unwrap_or(0));
+        let team = scale_limits(team, kept_percent);
         if let Some(ledger) = self.ledgers.get_mut(&team.name) {
             ledger.advance(now, &team);
-            ledger.give_back(now, returns);
+            ledger.apply_returns(now, returns);
         }
     }
 
@@ -107,13 +107,13 @@
     /// granted may be outstanding any more.
     pub fn settled_buckets(&self) -> Vec<BucketSnapshot> {
         let settled = |ledger: &&Ledger| ledger.outstanding.is_empty();
-        let account = |(team, ledger): (&crate::id::Team, &Ledger)| BucketSnapshot {
+        let snapshot = |(team, ledger): (&crate::id::Team, &Ledger)| BucketSnapshot {
             team: team.clone(),
             epoch: ledger.epoch,
             millis: ledger.bucket.millis(),
         };
         let ledgers = self.ledgers.iter().filter(|(_, ledger)| settled(ledger));
-        ledgers.map(account).collect()
+        ledgers.map(snapshot).collect()
     }
 
     /// Brings all accounts up to `now`.
@@ -125,42 +125,43 @@
 
     /// Notes what an owner that left had in its buckets. It counts only for the
     /// right that directly follows that owner's.
-    pub fn inherit_buckets(&mut self, accounts: Vec<BucketSnapshot>) {
-        for account in accounts {
-            self.inherited.insert(account.team.clone(), account);
+    pub fn inherit_buckets(&mut self, snapshots: Vec<BucketSnapshot>) {
+        for snapshot in snapshots {
+            self.inherited.insert(snapshot.team.clone(), snapshot);
         }
     }
 
-    fn ledger(&mut self, right: Ownership, team: &Team) -> &mut Ledger {
+    fn ledger_for(&mut self, ownership: Ownership, team: &Team) -> &mut Ledger {
         let fresh = || {
-            let mut ledger = Ledger::new(right.epoch, Bucket::empty(right.since));
+            let mut ledger = Ledger::new(ownership.epoch, Bucket::empty(ownership.since));
             (ledger.rate, ledger.burst) = (team.rate, team.burst);
             ledger
         };
         let ledger = self.ledgers.entry(team.name.clone()).or_insert_with(fresh);
         // Tokens of an earlier right of this node may have been granted anew by
         // an owner in between: the account begins again, empty.
-        if right.continued_epoch == Some(ledger.epoch) {
-            ledger.epoch = right.epoch;
-        } else if ledger.epoch != right.epoch {
+        if ownership.continued_epoch == Some(ledger.epoch) {
+            ledger.epoch = ownership.epoch;
+        } else if ledger.epoch != ownership.epoch {
             *ledger = fresh();
         }
-        let heir = |account: &&BucketSnapshot| right.epoch.directly_follows(account.epoch);
-        if let Some(account) = self.inherited.get(&team.name).filter(heir) {
-            ledger.credit(account.millis);
+        let directly_before =
+            |snapshot: &&BucketSnapshot| ownership.epoch.directly_follows(snapshot.epoch);
+        if let Some(snapshot) = self.inherited.get(&team.name).filter(directly_before) {
+            ledger.credit(snapshot.millis);
         }
         ledger
     }
 }
 
-impl Outstanding {
+impl OutstandingGrant {
     /// Tokens that may yet pay for a request.
-    fn left(&self) -> u32 {
+    fn unspent(&self) -> u32 {
         self.tokens - self.unused - self.begun
     }
 }
 
-fn scaled(team: &Team, percent: u64) -> Team {
+fn scale_limits(team: &Team, percent: u64) -> Team {
     if percent == 100 {
         return team.clone();
     }
@@ -178,8 +179,8 @@
             bucket,
             rate: Rate::per_second(0),
             burst: 0,
-            next: 0,
-            granted: 0,
+            last_sequence: 0,
+            granted_millis: 0,
             inherited: false,
             outstanding: BTreeMap::new(),
             latest: BTreeMap::new(),
@@ -190,13 +191,17 @@
     /// told: less what was granted since, as if it had been there from the start.
     fn credit(&mut self, millis: u64) {
         if !std::mem::replace(&mut self.inherited, true) {
-            let rest = millis.saturating_sub(self.granted);
+            let rest = millis.saturating_sub(self.granted_millis);
             self.bucket.raise_to_millis(rest);
         }
     }
 
     fn cap(&self) -> u64 {
-        let out: u64 = self.outstanding.values().map(|o| u64::from(o.left())).sum();
+        let out: u64 = self
+            .outstanding
+            .values()
+            .map(|grant| u64::from(grant.unspent()))
+            .sum();
         u64::from(self.burst).saturating_sub(out) * MILLIS_PER_TOKEN
     }
 
@@ -212,7 +217,7 @@
         (self.rate, self.burst) = (team.rate, team.burst);
         self.bucket.refill(now, self.rate, self.cap());
         self.latest
-            .retain(|_, latest| now.since(latest.at) < FORGET);
+            .retain(|_, latest| now.since(latest.at) < HOLDER_IDLE_TIMEOUT);
     }
 
     fn advance_to(&mut self, now: Time) {
@@ -220,9 +225,9 @@
             let ended = self
                 .outstanding
                 .iter()
-                .filter(|(_, o)| o.end <= now)
-                .min_by_key(|(_, o)| o.end)
-                .map(|(batch, o)| (*batch, o.end));
+                .filter(|(_, grant)| grant.end <= now)
+                .min_by_key(|(_, grant)| grant.end)
+                .map(|(batch, grant)| (*batch, grant.end));
             let Some((batch, end)) = ended else {
                 break;
             };
@@ -232,58 +237,58 @@
         self.bucket.refill(now, self.rate, self.cap());
     }
 
-    fn give_back(&mut self, now: Time, returns: &[Return]) {
+    fn apply_returns(&mut self, now: Time, returns: &[Return]) {
         for returned in returns {
             let Some(outstanding) = self.outstanding.get_mut(&returned.batch) else {
                 continue;
             };
-            let news = returned.unused.saturating_sub(outstanding.unused);
-            let news = news.min(outstanding.left());
-            outstanding.unused += news;
-            self.bucket.add(u64::from(news));
-            let news = returned.begun.saturating_sub(outstanding.begun);
-            outstanding.begun += news.min(outstanding.left());
+            let increase = returned.unused.saturating_sub(outstanding.unused);
+            let increase = increase.min(outstanding.unspent());
+            outstanding.unused += increase;
+            self.bucket.add(u64::from(increase));
+            let increase = returned.begun.saturating_sub(outstanding.begun);
+            outstanding.begun += increase.min(outstanding.unspent());
         }
         self.bucket.refill(now, self.rate, self.cap());
     }
 
-    fn answer(&mut self, now: Time, right: Ownership, ask: &Ask) -> Reply {
-        if let Some(reply) = self.repeat(now, ask) {
+    fn grant(&mut self, now: Time, ownership: Ownership, ask: &Ask) -> Reply {
+        if let Some(reply) = self.repeated_reply(now, ask) {
             return reply;
         }
         // A grant never outlives the right under which it was made, so the next
         // owner, which begins after that right, has nothing outstanding to fear.
-        let length = self.life().min(now.until(right.until));
-        if length < MIN_GRANT_LIFE {
+        let duration = self.grant_life().min(now.until(ownership.until));
+        if duration < MIN_GRANT_LIFE {
             return Reply::NotOwner(None);
         }
         let tokens = self.bucket.tokens();
         let share = tokens.div_ceil(2).min(u64::from(ask.want));
         if share == 0 {
-            return Reply::OverRate(self.wait());
+            return Reply::OverRate(self.wait_time());
         }
         self.bucket.take(share);
-        self.granted += share * MILLIS_PER_TOKEN;
-        self.next += 1;
-        let batch = Batch {
+        self.granted_millis += share * MILLIS_PER_TOKEN;
+        self.last_sequence += 1;
+        let batch = BatchId {
             epoch: self.epoch,
-            sequence: self.next,
+            sequence: self.last_sequence,
         };
-        let outstanding = Outstanding {
+        let outstanding = OutstandingGrant {
             holder: ask.from.clone(),
             life: ask.life,
             number: ask.number,
             tokens: share as u32,
             unused: 0,
             begun: 0,
-            length,
-            end: now + length,
+            duration,
+            end: now + duration,
         };
         self.outstanding.insert(batch, outstanding);
         Reply::Granted {
             batch,
             tokens: share as u32,
-            life: length,
+            life: duration,
             scarce: self.is_scarce(),
         }
     }
@@ -294,29 +299,29 @@
 
     /// The same answer to a repeated wish, so that a lost answer costs nothing.
     /// A wish older than the holder's latest is a late copy.
-    fn repeat(&mut self, now: Time, ask: &Ask) -> Option<Reply> {
-        let mine = |o: &&Outstanding| o.holder == ask.from && o.life == ask.life;
+    fn repeated_reply(&mut self, now: Time, ask: &Ask) -> Option<Reply> {
+        let mine = |grant: &&OutstandingGrant| grant.holder == ask.from && grant.life == ask.life;
         let found = self
             .outstanding
             .iter()
-            .find(|(_, o)| mine(o) && o.number == ask.number);
-        if let Some((batch, o)) = found {
+            .find(|(_, grant)| mine(grant) && grant.number == ask.number);
+        if let Some((batch, grant)) = found {
             return Some(Reply::Granted {
                 batch: *batch,
-                tokens: o.tokens,
-                life: o.length,
+                tokens: grant.tokens,
+                life: grant.duration,
                 scarce: self.is_scarce(),
             });
         }
-        let latest = Latest {
+        let latest = LatestAsk {
             life: ask.life,
             number: ask.number,
             at: now,
         };
         let before = self.latest.get(&ask.from);
-        let late = before.is_some_and(|l| (l.life, l.number) > (ask.life, ask.number));
+        let late = before.is_some_and(|last| (last.life, last.number) > (ask.life, ask.number));
         if late {
-            return Some(Reply::OverRate(WAIT_SHORTEST));
+            return Some(Reply::OverRate(MIN_WAIT));
         }
         self.latest.insert(ask.from.clone(), latest);
         None
@@ -324,14 +329,14 @@
 
     /// Grants live shorter when the burst is small against the rate, as what is
     /// outstanding takes its place in the burst.
-    fn life(&self) -> Span {
+    fn grant_life(&self) -> Span {
         let half = u64::from(self.burst) * 1_000_000 / (2 * self.rate.as_millis().max(1));
         Span::from_ms(half).clamp(Span::from_ms(150), MAX_GRANT_LIFE)
     }
 
-    fn wait(&self) -> Span {
+    fn wait_time(&self) -> Span {
         let missing = MILLIS_PER_TOKEN - self.bucket.millis() % MILLIS_PER_TOKEN;
         let wait = Span::from_ms(missing * 1000 / self.rate.as_millis().max(1));
-        wait.clamp(WAIT_SHORTEST, WAIT_LONGEST)
+        wait.clamp(MIN_WAIT, MAX_WAIT)
     }
 }
