--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -1,12 +1,14 @@
-//! Who is in the fleet, and in which state.
+//! Fleet membership and failure detection.
 //!
-//! A SWIM-like protocol: every node probes one member a second, asks others to
-//! probe on its behalf before it suspects, and a suspected member refutes by a
-//! higher revision of its own record. Changes ride on probes and on short
-//! rounds of gossip; a digest exchange with one random member finds what was
-//! missed and heals partitions. docs/design/membership.md weighs the ways.
+//! A SWIM-like protocol: every node probes members in turn, asks other members to
+//! probe on its behalf before it suspects one, and a suspected member refutes the
+//! suspicion by a higher revision of its own record. Changes are piggybacked on
+//! probes and spread by short rounds of gossip. An anti-entropy exchange of
+//! digests with one random member repairs what was missed and heals partitions.
+//! docs/design/membership.md compares the alternatives.
 //!
-//! The [`Agent`] decides, the [`Table`] is what it and everybody else reads.
+//! The [`Agent`] runs the protocol and updates the [`Table`], which the rest of
+//! the process reads.
 
 mod agent;
 mod exchange;
@@ -33,12 +35,12 @@
         Outgoing, //
     },
     seed::{
-        SEEDS,
+        SEED_PREFIX,
         SeedClient,
         SeedRole, //
     },
     table::{
-        Merge,
+        MergeOutcome,
         Table,
         rank_by_rendezvous, //
     },
@@ -61,19 +63,20 @@
     Pool, //
 };
 
-/// What is believed of a member.
+/// The state of a member in the view of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// It answers probes.
     #[serde(rename = "a")]
     Alive,
-    /// It does not answer; it gets no new work while others are there.
+    /// It does not answer probes. It gets new work only if no healthy member is
+    /// left.
     #[serde(rename = "s")]
     Suspect,
-    /// It takes no new work and will go.
+    /// It announced that it leaves. It gets no new work.
     #[serde(rename = "l")]
     Leaving,
-    /// It is gone.
+    /// It has left or is considered failed.
     #[serde(rename = "d")]
     Dead,
 }
@@ -89,23 +92,23 @@
     }
 }
 
-/// One member.
+/// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the instance.
     pub instance: Instance,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: Domain,
     /// The pool that its upstream belongs to.
     pub pool: Pool,
-    /// Where it accepts links.
+    /// The address that accepts links.
     pub link: SocketAddr,
-    /// Where it accepts datagrams.
+    /// The address that accepts datagrams.
     pub datagram: SocketAddr,
-    /// Its present life.
+    /// The current incarnation of the instance.
     pub incarnation: Incarnation,
-    /// What is believed of it.
+    /// The state in the view of this node.
     pub status: Status,
-    /// Whether its upstream has announced itself and takes requests.
+    /// Whether the upstream has announced itself and accepts requests.
     pub ready: bool,
 }
--- a/src/process/member/agent.rs
+++ b/src/process/member/agent.rs
@@ -1,4 +1,4 @@
-//! One node's part in the membership protocol.
+//! One node's side of the membership protocol.
 
 mod round;
 
@@ -15,14 +15,14 @@
 use serde_bytes::ByteBuf;
 
 use self::round::{
-    BUDGET,
-    FANOUT,
-    YOUNG,
-    paged, //
+    GOSSIP_FANOUT,
+    JOIN_PERIOD,
+    MAX_PIGGYBACK_LEN,
+    push_pages, //
 };
 use super::{
     Kind,
-    Merge,
+    MergeOutcome,
     Peer,
     Status,
     Table,
@@ -30,7 +30,7 @@
     exchange,
     gossip::{
         self,
-        Queue, //
+        GossipQueue, //
     },
     probe::{
         self,
@@ -46,67 +46,67 @@
     id::Instance,
 };
 
-/// Time between two probes of dead members.
-const KNOCK: Span = Span::from_secs(1);
-/// Probes a second that one dead member gets from all others together.
-const KNOCKS: usize = 4;
-/// Time to refute a suspicion, per decimal digit of the fleet's size.
-const REFUTE: Span = Span::from_secs(3);
-/// A gap between two events that means that this node was paused.
-pub const PAUSE: Span = Span::from_secs(2);
+/// Interval between probes of dead members.
+const DEAD_PROBE_INTERVAL: Span = Span::from_secs(1);
+/// Probes per second that one dead member gets from all other members together.
+const DEAD_PROBES_PER_SECOND: usize = 4;
+/// Time to refute a suspicion, per decimal digit of the fleet size.
+const REFUTE_TIMEOUT_PER_DIGIT: Span = Span::from_secs(3);
+/// A gap of this length between two events means that this process was paused.
+pub const PAUSE_THRESHOLD: Span = Span::from_secs(2);
 
-/// A message to be sent, before the news is added.
+/// A message to be sent, without the news that the caller adds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Where to.
+    /// The destination.
     pub to: SocketAddr,
-    /// What for.
+    /// The kind of the message.
     pub kind: Kind,
-    /// Changes that ride along.
+    /// Piggybacked membership changes.
     pub updates: Vec<Update>,
 }
 
-/// The protocol's state beside the table.
+/// The state of the protocol apart from the table.
 #[derive(Clone, Debug)]
 pub struct Agent {
     me: Instance,
-    began: Option<Time>,
-    last: Time,
-    queue: Queue,
+    started_at: Option<Time>,
+    last_event_at: Time,
+    queue: GossipQueue,
     prober: Prober,
     seeds: Vec<SocketAddr>,
-    /// Rounds of gossip that go out even without changes.
-    rounds: u32,
-    next_round: Time,
-    next_exchange: Time,
-    exchanges: u32,
-    next_knock: Time,
-    /// Paused until now: ask some members at once.
-    woken: bool,
+    /// Remaining rounds of gossip that are sent even without changes.
+    forced_rounds: u32,
+    next_round_at: Time,
+    next_exchange_at: Time,
+    exchange_count: u32,
+    next_dead_probe_at: Time,
+    /// This process was paused until now: some members are to be probed at once.
+    resumed: bool,
 }
 
 impl Agent {
-    /// The agent of this instance.
+    /// Creates the agent of an instance.
     pub fn new(me: Instance) -> Self {
         Self {
             me,
-            began: None,
-            last: Time::ZERO,
-            queue: Queue::default(),
+            started_at: None,
+            last_event_at: Time::ZERO,
+            queue: GossipQueue::default(),
             prober: Prober::default(),
             seeds: Vec::new(),
-            rounds: 0,
-            next_round: Time::ZERO,
-            next_exchange: Time::ZERO,
-            exchanges: 0,
-            next_knock: Time::ZERO,
-            woken: false,
+            forced_rounds: 0,
+            next_round_at: Time::ZERO,
+            next_exchange_at: Time::ZERO,
+            exchange_count: 0,
+            next_dead_probe_at: Time::ZERO,
+            resumed: false,
         }
     }
 
-    /// Adds addresses of nodes that may be there: from the settings, or from
-    /// the store. They are kept for the life of the node, so that a store
-    /// outage stops no join as long as one of them answers.
+    /// Adds datagram addresses of possible members, from the settings or from the
+    /// store. They are kept for the lifetime of the process, so that a node can join
+    /// during a store outage as long as one of them answers.
     pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if !self.seeds.contains(&address) {
@@ -115,45 +115,49 @@
         }
     }
 
-    /// Spreads this node's own state after a change of it.
+    /// Updates this node's own record and queues it for gossip.
     pub fn announce(&mut self, now: Time, peer: &Peer, table: &mut Table) {
         let update = table.announce(now, peer, 0);
         self.queue.push(update);
     }
 
-    /// Sends gossip for some rounds even without changes of members, because
-    /// there is other news.
+    /// Sends gossip for some rounds even without membership changes, because there is
+    /// other news to distribute.
     pub fn schedule_gossip(&mut self, members: usize) {
-        self.rounds = gossip::transmissions(members).div_ceil(FANOUT as u32) + 1;
+        self.forced_rounds = gossip::transmissions(members).div_ceil(GOSSIP_FANOUT as u32) + 1;
     }
 
-    /// Whether everything has been spread as often as is needed.
-    pub fn is_quiet(&self) -> bool {
-        self.queue.is_empty() && self.rounds == 0
+    /// Whether no gossip is left to send.
+    pub fn is_idle(&self) -> bool {
+        self.queue.is_empty() && self.forced_rounds == 0
     }
 
-    /// Whether this node found any other, or has tried for long enough.
+    /// Whether this node knows another member, or has tried to find one for
+    /// [`JOIN_PERIOD`].
     pub fn has_joined(&self, now: Time, table: &Table) -> bool {
-        table.len() > 1 || self.began.is_some_and(|began| now.since(began) >= YOUNG)
+        table.len() > 1
+            || self
+                .started_at
+                .is_some_and(|started_at| now.since(started_at) >= JOIN_PERIOD)
     }
 
-    /// Notes that time has passed, before any event is handled. True when the
-    /// node was paused: what it knew of others is then old, and answers that
-    /// it waited for may have been lost here.
+    /// Records the time, before any event is handled. Returns true if this process
+    /// was paused: its knowledge of other members is outdated then, and answers that
+    /// it waited for may have been lost on this side.
     pub fn observe_time(&mut self, now: Time, table: &mut Table) -> bool {
-        let paused = self.began.is_some() && now.since(self.last) >= PAUSE;
-        self.began.get_or_insert(now);
-        self.last = now;
+        let paused = self.started_at.is_some() && now.since(self.last_event_at) >= PAUSE_THRESHOLD;
+        self.started_at.get_or_insert(now);
+        self.last_event_at = now;
         if paused {
             self.prober.reset();
             table.restart_suspicions(now);
-            self.next_exchange = now;
-            self.woken = true;
+            self.next_exchange_at = now;
+            self.resumed = true;
         }
         paused
     }
 
-    /// Probes, spreads, exchanges and judges, whatever is due.
+    /// Handles timeouts and sends probes, gossip and exchanges that are due.
     pub fn tick(
         &mut self,
         now: Time,
@@ -161,15 +165,15 @@
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        self.judge(now, table, rng, out);
-        self.probe(now, table, rng, out);
-        self.knock(now, table, rng, out);
-        self.spread(now, table, rng, out);
-        self.exchange(now, table, rng, out);
+        self.handle_timeouts(now, table, rng, out);
+        self.run_probes(now, table, rng, out);
+        self.probe_dead_member(now, table, rng, out);
+        self.gossip(now, table, rng, out);
+        self.start_exchange(now, table, rng, out);
     }
 
-    /// Takes one message in and answers it. True when it answers a question of
-    /// this node that still waited.
+    /// Handles one message and answers it. Returns true if it answers a pending probe
+    /// of this node.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -179,25 +183,25 @@
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) -> bool {
-        let spread = message.kind != Kind::Page;
+        let relay = message.kind != Kind::Page;
         for update in &message.updates {
-            self.learn(now, update, spread, table);
+            self.apply_update(now, update, relay, table);
         }
         match message.kind {
             Kind::Gossip | Kind::Page => {}
-            Kind::Ping { number, tag } => self.ping(now, from, number, tag, table, out),
+            Kind::Ping { number, tag } => self.handle_ping(now, from, number, tag, table, out),
             Kind::Via {
                 number,
                 tag,
                 target,
             } => {
-                let number = self.prober.relay(now, from, number);
+                let number = self.prober.start_relayed_probe(now, from, number);
                 self.send(target, Kind::Ping { number, tag }, table, out);
             }
-            Kind::Ack { number, tag } => return self.ack(number, tag, table, out),
+            Kind::Ack { number, tag } => return self.handle_ack(number, tag, table, out),
             Kind::Digest { buckets } => {
                 let first = rng.random_range(0..64);
-                let (mask, entries) = exchange::differ(table, &buckets, first);
+                let (mask, entries) = exchange::differing_entries(table, &buckets, first);
                 if mask != 0 {
                     let entries = ByteBuf::from(entries);
                     let kind = Kind::Differ { mask, entries };
@@ -210,7 +214,7 @@
                 }
             }
             Kind::Differ { mask, entries } => {
-                self.hurry(now, table);
+                self.hasten_exchange(now, table);
                 let (updates, hashes) = exchange::compare(now, table, mask, &entries);
                 if !hashes.is_empty() {
                     let hashes = ByteBuf::from(hashes);
@@ -220,14 +224,17 @@
                         updates: Vec::new(),
                     });
                 }
-                paged(from, updates, out);
+                push_pages(from, updates, out);
+            }
+            Kind::Want { hashes } => {
+                push_pages(from, exchange::requested_updates(now, table, &hashes), out)
             }
-            Kind::Want { hashes } => paged(from, exchange::wanted(now, table, &hashes), out),
         }
         false
     }
 
-    /// A link to a member broke: it gets no new work until it answers a probe.
+    /// Handles a broken link to a member: it is probed, and gets no new work until it
+    /// answers.
     pub fn link_broken(
         &mut self,
         now: Time,
@@ -238,11 +245,12 @@
         if *peer == self.me {
             return;
         }
-        table.doubt(peer, true);
-        self.ask(now, peer, table, out);
+        table.set_link_broken(peer, true);
+        self.send_probe(now, peer, table, out);
     }
 
-    /// Tells a few members directly that this node is gone, as its last act.
+    /// Tells a few members that this node is gone. This is the last message before
+    /// the node exits.
     pub fn announce_departure(
         &mut self,
         now: Time,
@@ -253,34 +261,34 @@
         let Some(update) = table.update_for(now, &self.me) else {
             return;
         };
-        let gone = Update {
+        let departure = Update {
             status: Status::Dead,
             card: None,
             ..update
         };
-        for to in self.targets(table, rng, FANOUT * 2) {
+        for to in self.gossip_targets(table, rng, GOSSIP_FANOUT * 2) {
             out.push(Outgoing {
                 to,
                 kind: Kind::Gossip,
-                updates: vec![gone.clone()],
+                updates: vec![departure.clone()],
             });
         }
     }
 
-    fn learn(&mut self, now: Time, update: &Update, spread: bool, table: &mut Table) {
+    fn apply_update(&mut self, now: Time, update: &Update, relay: bool, table: &mut Table) {
         if update.instance == self.me {
             self.refute(now, update, table);
             return;
         }
-        if table.merge(now, update) == Merge::New && spread {
+        if table.merge(now, update) == MergeOutcome::Applied && relay {
             self.queue.push(update.clone());
         }
     }
 
-    /// Others believe something of this node that is not so, or remember a
-    /// later announcement than its own: it announces itself above that. A
-    /// record of a higher life is another node under the same name, or a
-    /// restart that overtook this process; it is left to its owner.
+    /// Refutes a record of this node that has a wrong status, or a later revision
+    /// than its own: it announces its state again with a higher revision. A record of
+    /// a higher incarnation belongs to another node under the same name, or to a
+    /// restart that overtook this process; it is left alone.
     fn refute(&mut self, now: Time, update: &Update, table: &mut Table) {
         let Some(me) = table.get(&self.me).cloned() else {
             return;
@@ -288,15 +296,15 @@
         let ours = table
             .update_for(now, &self.me)
             .map_or(0, |own| own.revision);
-        let same = update.incarnation == me.incarnation;
-        let wrong = update.status != me.status && update.revision >= ours;
-        if same && (wrong || update.revision > ours) {
+        let same_incarnation = update.incarnation == me.incarnation;
+        let is_wrong = update.status != me.status && update.revision >= ours;
+        if same_incarnation && (is_wrong || update.revision > ours) {
             let update = table.announce(now, &me, update.revision);
             self.queue.push(update);
         }
     }
 
-    fn ping(
+    fn handle_ping(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -308,18 +316,22 @@
         let Some(me) = table.get(&self.me) else {
             return;
         };
-        let own = table::incarnation_tag(&me.instance, me.incarnation);
-        let kind = Kind::Ack { number, tag: own };
-        let asker = table.by_datagram_address(from);
-        if own == tag && asker.is_some_and(|peer| peer.status == Status::Alive) {
+        let own_tag = table::incarnation_tag(&me.instance, me.incarnation);
+        let kind = Kind::Ack {
+            number,
+            tag: own_tag,
+        };
+        let sender = table.by_datagram_address(from);
+        if own_tag == tag && sender.is_some_and(|peer| peer.status == Status::Alive) {
             self.send(from, kind, table, out);
             return;
         }
-        // The other end means a former life, or another member that had this
-        // address, or is not known here: it gets the truth about this node. Or
-        // it is taken for dead here, and must hear of it to be able to refute.
-        let asker = asker.map(|peer| peer.instance.clone());
-        let names = [Some(self.me.clone()), asker];
+        // The sender expects a previous incarnation or another member that had this
+        // address, or it is not known here: it gets this node's record. If it is
+        // not alive in this table, it also gets its own record to be able to
+        // refute.
+        let sender = sender.map(|peer| peer.instance.clone());
+        let names = [Some(self.me.clone()), sender];
         let updates = names.iter().flatten();
         let updates = updates
             .filter_map(|name| table.update_for(now, name))
@@ -331,60 +343,66 @@
         });
     }
 
-    fn ack(&mut self, number: u32, tag: u32, table: &mut Table, out: &mut Vec<Outgoing>) -> bool {
-        if let Some(relay) = self.prober.relayed(number) {
+    fn handle_ack(
+        &mut self,
+        number: u32,
+        tag: u32,
+        table: &mut Table,
+        out: &mut Vec<Outgoing>,
+    ) -> bool {
+        if let Some(relay) = self.prober.take_relayed(number) {
             let number = relay.number;
             self.send(relay.origin, Kind::Ack { number, tag }, table, out);
             return false;
         }
-        let answered = self.prober.answered(number, tag);
+        let answered = self.prober.take_answered(number, tag);
         if let Some(pending) = &answered {
-            table.doubt(&pending.target, false);
+            table.set_link_broken(&pending.target, false);
         }
         answered.is_some()
     }
 
-    fn judge(
+    fn handle_timeouts(
         &mut self,
         now: Time,
         table: &mut Table,
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        let due = self.prober.due(now);
-        for (number, pending) in due.help {
-            self.help(number, &pending, table, rng, out);
+        let timeouts = self.prober.take_timeouts(now);
+        for (number, pending) in timeouts.direct {
+            self.probe_indirectly(number, &pending, table, rng, out);
         }
-        for pending in due.silent {
+        for pending in timeouts.expired {
             self.suspect(now, &pending, table);
         }
         if table.len() < 2 {
             return;
         }
         let digits = table.len().ilog10() + 1;
-        let refute = Span::from_ms(REFUTE.as_ms() * u64::from(digits));
-        let (dead, gone) = table.expired(now, refute);
-        for update in dead {
-            self.learn(now, &update, true, table);
+        let refute_timeout = Span::from_ms(REFUTE_TIMEOUT_PER_DIGIT.as_ms() * u64::from(digits));
+        let (failed, forgotten) = table.expired(now, refute_timeout);
+        for update in failed {
+            self.apply_update(now, &update, true, table);
         }
-        for instance in gone {
+        for instance in forgotten {
             table.forget(now, &instance);
         }
     }
 
-    /// Repeats a probe, and asks some members to probe on this node's behalf:
-    /// it may have been one lost datagram, or the way between the two.
-    fn help(
+    /// Repeats a probe, and asks some members to probe on this node's behalf: a
+    /// datagram may have been lost, or only the path between the two may be broken.
+    fn probe_indirectly(
         &mut self,
         number: u32,
-        pending: &probe::Pending,
+        pending: &probe::PendingProbe,
         table: &Table,
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        let there = table.get(&pending.target);
-        let there = there.filter(|peer| peer.status != Status::Dead);
-        let Some(target) = there.map(|peer| peer.datagram) else {
+        let peer = table.get(&pending.target);
+        let target = peer.filter(|peer| peer.status != Status::Dead);
+        let Some(target) = target.map(|peer| peer.datagram) else {
             return;
         };
         let helpers = table
@@ -392,7 +410,7 @@
             .filter(|peer| peer.status == Status::Alive)
             .filter(|peer| peer.instance != self.me && peer.instance != pending.target)
             .map(|peer| peer.datagram)
-            .sample(rng, probe::HELPERS);
+            .sample(rng, probe::INDIRECT_PROBES);
         let tag = pending.tag;
         self.send(target, Kind::Ping { number, tag }, table, out);
         for to in helpers {
@@ -409,70 +427,83 @@
         }
     }
 
-    fn suspect(&mut self, now: Time, pending: &probe::Pending, table: &mut Table) {
+    fn suspect(&mut self, now: Time, pending: &probe::PendingProbe, table: &mut Table) {
         let Some(update) = table.update_for(now, &pending.target) else {
             return;
         };
-        let same = table::incarnation_tag(&update.instance, update.incarnation) == pending.tag;
+        let same_incarnation =
+            table::incarnation_tag(&update.instance, update.incarnation) == pending.tag;
         let status = match update.status {
             Status::Alive => Status::Suspect,
-            // It has said that it would go, and now it is silent.
+            // It had announced that it leaves.
             Status::Leaving => Status::Dead,
             Status::Suspect | Status::Dead => return,
         };
-        if same {
-            let verdict = Update {
+        if same_incarnation {
+            let changed = Update {
                 status,
                 card: None,
                 ..update
             };
-            self.learn(now, &verdict, true, table);
+            self.apply_update(now, &changed, true, table);
         }
     }
 
-    fn probe(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Outgoing>) {
+    fn run_probes(
+        &mut self,
+        now: Time,
+        table: &Table,
+        rng: &mut ChaCha8Rng,
+        out: &mut Vec<Outgoing>,
+    ) {
         let Some(me) = table.get(&self.me) else {
             return;
         };
-        if let Some(target) = self.prober.turn(now, me, table, rng) {
-            self.ask(now, &target, table, out);
+        if let Some(target) = self.prober.next_target(now, me, table, rng) {
+            self.send_probe(now, &target, table, out);
         }
-        if std::mem::take(&mut self.woken) {
-            for address in self.targets(table, rng, FANOUT) {
+        if std::mem::take(&mut self.resumed) {
+            for address in self.gossip_targets(table, rng, GOSSIP_FANOUT) {
                 let target = table
                     .by_datagram_address(address)
                     .map(|peer| peer.instance.clone());
                 target
                     .into_iter()
-                    .for_each(|target| self.ask(now, &target, table, out));
+                    .for_each(|target| self.send_probe(now, &target, table, out));
             }
         }
     }
 
-    /// Probes a dead member now and then, so that the end of a partition or of
-    /// a pause is seen within seconds, by one of all who took it for dead.
-    fn knock(&mut self, now: Time, table: &Table, rng: &mut ChaCha8Rng, out: &mut Vec<Outgoing>) {
-        if now < self.next_knock {
+    /// Probes a dead member occasionally, so that the end of a partition or of a
+    /// pause is detected within seconds by one of the members that consider it dead.
+    fn probe_dead_member(
+        &mut self,
+        now: Time,
+        table: &Table,
+        rng: &mut ChaCha8Rng,
+        out: &mut Vec<Outgoing>,
+    ) {
+        if now < self.next_dead_probe_at {
             return;
         }
-        self.next_knock = now + KNOCK;
+        self.next_dead_probe_at = now + DEAD_PROBE_INTERVAL;
         let dead = table.iter().filter(|peer| peer.status == Status::Dead);
         let dead: Vec<_> = dead.map(|peer| &peer.instance).collect();
-        let share = (KNOCKS * dead.len()) as f64 / table.len().max(1) as f64;
+        let probability = (DEAD_PROBES_PER_SECOND * dead.len()) as f64 / table.len().max(1) as f64;
         if let Some(target) = dead.choose(rng)
-            && rng.random_bool(share.min(1.0))
+            && rng.random_bool(probability.min(1.0))
         {
-            self.ask(now, target, table, out);
+            self.send_probe(now, target, table, out);
         }
     }
 
-    fn ask(&mut self, now: Time, target: &Instance, table: &Table, out: &mut Vec<Outgoing>) {
+    fn send_probe(&mut self, now: Time, target: &Instance, table: &Table, out: &mut Vec<Outgoing>) {
         let Some(peer) = table.get(target) else {
             return;
         };
-        let (number, tag) = self.prober.start(now, peer);
-        let mut updates = self.queue.take(BUDGET, table.len());
-        // It must hear what is believed of it, to be able to refute.
+        let (number, tag) = self.prober.start_probe(now, peer);
+        let mut updates = self.queue.take(MAX_PIGGYBACK_LEN, table.len());
+        // The target must know its recorded status to be able to refute it.
         if matches!(peer.status, Status::Suspect | Status::Dead) {
             updates.extend(table.update_for(now, target).map(|update| Update {
                 card: None,
--- a/src/process/member/agent/round.rs
+++ b/src/process/member/agent/round.rs
@@ -1,4 +1,4 @@
-//! What an agent sends without being asked: rounds of gossip and exchanges.
+//! Messages that an agent initiates: rounds of gossip and exchanges.
 
 use std::net::SocketAddr;
 
@@ -29,47 +29,50 @@
     Time, //
 };
 
-/// Time between two rounds of gossip while there is something to spread.
-const ROUND: Span = Span::from_ms(200);
-/// Members that a round of gossip goes to; all but one in the own domain.
-pub(super) const FANOUT: usize = 3;
-/// Bytes of changes in one datagram. It keeps the loss of a whole domain of a
-/// large fleet within the budget of 12 KB a second.
-pub(super) const BUDGET: usize = 256;
-/// Time between two exchanges while tables are equal.
-const EXCHANGE: Span = Span::from_secs(10);
-/// Time between two exchanges while they differ.
-const HASTE: Span = Span::from_secs(1);
-/// Time between two exchanges of a node that has just joined.
-const JOIN: Span = Span::from_ms(150);
-/// How long a node counts as having just joined.
-pub(super) const YOUNG: Span = Span::from_secs(5);
-/// One exchange in so many goes to a dead member or a seed.
-const REVIVE: u32 = 3;
-/// Seeds that a lone node asks at once.
-const ASK: usize = 3;
+/// Interval between rounds of gossip while there is something to send.
+const GOSSIP_INTERVAL: Span = Span::from_ms(200);
+/// Number of members that get a round of gossip; all but one are in this node's
+/// domain.
+pub(super) const GOSSIP_FANOUT: usize = 3;
+/// Maximum encoded length of the changes in one datagram, in bytes. It keeps the
+/// traffic that follows the loss of a whole domain of a large fleet within the
+/// budget of 12 KB per second.
+pub(super) const MAX_PIGGYBACK_LEN: usize = 256;
+/// Interval between exchanges while tables are equal.
+const EXCHANGE_INTERVAL: Span = Span::from_secs(10);
+/// Interval between exchanges while tables differ, or while no other member is
+/// known.
+const FAST_EXCHANGE_INTERVAL: Span = Span::from_secs(1);
+/// Interval between exchanges of a node that has just joined, while tables differ.
+const JOIN_EXCHANGE_INTERVAL: Span = Span::from_ms(150);
+/// How long a node counts as having just joined after its start.
+pub(super) const JOIN_PERIOD: Span = Span::from_secs(5);
+/// One exchange in this many goes to a dead member or a seed.
+const REVIVAL_EVERY: u32 = 3;
+/// Number of seeds that a node without other members contacts at once.
+const SEED_FANOUT: usize = 3;
 
 impl Agent {
-    pub(super) fn spread(
+    pub(super) fn gossip(
         &mut self,
         now: Time,
         table: &Table,
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        if now < self.next_round || self.is_quiet() {
+        if now < self.next_round_at || self.is_idle() {
             return;
         }
-        self.next_round = now + ROUND;
-        self.rounds = self.rounds.saturating_sub(1);
-        for to in self.targets(table, rng, FANOUT) {
+        self.next_round_at = now + GOSSIP_INTERVAL;
+        self.forced_rounds = self.forced_rounds.saturating_sub(1);
+        for to in self.gossip_targets(table, rng, GOSSIP_FANOUT) {
             self.send(to, Kind::Gossip, table, out);
         }
     }
 
-    /// Random members to gossip to: one beyond the own domain, the rest within
-    /// it, as traffic between domains is dearer.
-    pub(super) fn targets(
+    /// Random members to gossip to: one in another domain, the rest in this node's
+    /// domain, because traffic between domains is more expensive.
+    pub(super) fn gossip_targets(
         &self,
         table: &Table,
         rng: &mut ChaCha8Rng,
@@ -78,40 +81,46 @@
         let Some(me) = table.get(&self.me) else {
             return Vec::new();
         };
-        let there = |peer: &&Peer| peer.status != Status::Dead && peer.instance != self.me;
+        let is_candidate = |peer: &&Peer| peer.status != Status::Dead && peer.instance != self.me;
         let address = |peer: &Peer| peer.datagram;
-        let home = table.in_domain(&me.domain).filter(there).map(address);
-        let mut targets = home.sample(rng, count - 1);
-        let abroad = table.iter().filter(there);
-        let abroad = abroad.filter(|peer| peer.domain != me.domain).map(address);
-        targets.extend(abroad.sample(rng, count - targets.len()));
+        let local = table
+            .in_domain(&me.domain)
+            .filter(is_candidate)
+            .map(address);
+        let mut targets = local.sample(rng, count - 1);
+        let remote = table.iter().filter(is_candidate);
+        let remote = remote.filter(|peer| peer.domain != me.domain).map(address);
+        targets.extend(remote.sample(rng, count - targets.len()));
         targets
     }
 
-    pub(super) fn exchange(
+    pub(super) fn start_exchange(
         &mut self,
         now: Time,
         table: &Table,
         rng: &mut ChaCha8Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        if now < self.next_exchange {
+        if now < self.next_exchange_at {
             return;
         }
-        let alone = table.len() < 2;
-        let pause = match alone {
-            true => HASTE,
-            false => EXCHANGE,
+        let is_alone = table.len() < 2;
+        let interval = match is_alone {
+            true => FAST_EXCHANGE_INTERVAL,
+            false => EXCHANGE_INTERVAL,
         };
-        let jitter = rng.random_range(0..pause.as_ms() / 4);
-        self.next_exchange = now + pause + Span::from_ms(jitter);
-        self.exchanges = self.exchanges.wrapping_add(1);
-        let targets = match alone || self.exchanges.is_multiple_of(REVIVE) {
-            true => self.lost(table, rng),
-            false => self.targets(table, rng, 1 + self.exchanges as usize % 2),
+        let jitter = rng.random_range(0..interval.as_ms() / 4);
+        self.next_exchange_at = now + interval + Span::from_ms(jitter);
+        self.exchange_count = self.exchange_count.wrapping_add(1);
+        let targets = match is_alone || self.exchange_count.is_multiple_of(REVIVAL_EVERY) {
+            true => self.revival_targets(table, rng),
+            false => self.gossip_targets(table, rng, 1 + self.exchange_count as usize % 2),
         };
         let own = table.update_for(now, &self.me);
-        for to in targets.into_iter().take(if alone { ASK } else { 1 }) {
+        for to in targets
+            .into_iter()
+            .take(if is_alone { SEED_FANOUT } else { 1 })
+        {
             let buckets = ByteBuf::from(exchange::digest(table));
             out.push(Outgoing {
                 to,
@@ -121,33 +130,35 @@
         }
     }
 
-    /// Members that were lost without a word, and seeds that are no member.
-    /// They may be the other half of a partition, which ends only if somebody
-    /// tries.
-    fn lost(&self, table: &Table, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
+    /// Datagram addresses of dead members and of seeds that are not members, or of
+    /// random members if there are none. The former may be on the other side of a
+    /// partition, which heals only if some node contacts them.
+    fn revival_targets(&self, table: &Table, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
         let dead = table
             .iter()
             .filter(|peer| peer.status == Status::Dead)
             .map(|peer| peer.datagram);
         let own = table.get(&self.me).map(|me| me.datagram);
-        let strangers = self.seeds.iter().copied();
-        let strangers = strangers
+        let unknown_seeds = self.seeds.iter().copied();
+        let unknown_seeds = unknown_seeds
             .filter(|seed| table.by_datagram_address(*seed).is_none() && Some(*seed) != own);
-        let lost: Vec<_> = dead.chain(strangers).collect();
-        match lost.is_empty() {
-            true => self.targets(table, rng, FANOUT),
-            false => lost.sample(rng, ASK).copied().collect(),
+        let addresses: Vec<_> = dead.chain(unknown_seeds).collect();
+        match addresses.is_empty() {
+            true => self.gossip_targets(table, rng, GOSSIP_FANOUT),
+            false => addresses.sample(rng, SEED_FANOUT).copied().collect(),
         }
     }
 
-    /// Exchanges again soon, as the tables differed.
-    pub(super) fn hurry(&mut self, now: Time, table: &Table) {
-        let young = self.began.is_none_or(|began| now.since(began) < YOUNG);
-        let pause = match young && table.len() > 1 {
-            true => JOIN,
-            false => HASTE,
+    /// Moves the next exchange forward, because tables differed.
+    pub(super) fn hasten_exchange(&mut self, now: Time, table: &Table) {
+        let is_joining = self
+            .started_at
+            .is_none_or(|started_at| now.since(started_at) < JOIN_PERIOD);
+        let interval = match is_joining && table.len() > 1 {
+            true => JOIN_EXCHANGE_INTERVAL,
+            false => FAST_EXCHANGE_INTERVAL,
         };
-        self.next_exchange = self.next_exchange.min(now + pause);
+        self.next_exchange_at = self.next_exchange_at.min(now + interval);
     }
 
     pub(super) fn send(
@@ -157,12 +168,12 @@
         table: &Table,
         out: &mut Vec<Outgoing>,
     ) {
-        let updates = self.queue.take(BUDGET, table.len());
+        let updates = self.queue.take(MAX_PIGGYBACK_LEN, table.len());
         out.push(Outgoing { to, kind, updates });
     }
 }
 
-pub(super) fn paged(to: SocketAddr, updates: Vec<Update>, out: &mut Vec<Outgoing>) {
+pub(super) fn push_pages(to: SocketAddr, updates: Vec<Update>, out: &mut Vec<Outgoing>) {
     for updates in exchange::pages(updates) {
         out.push(Outgoing {
             to,
--- a/src/process/member/exchange.rs
+++ b/src/process/member/exchange.rs
@@ -1,8 +1,8 @@
-//! Comparing two tables without sending them.
+//! Anti-entropy: comparing two member tables without sending them.
 //!
 //! A digest has one checksum for each of 64 buckets of members. The other side
-//! answers with the members of buckets that differ, one checksum each, as many
-//! as fit one datagram; then only the records that differ are sent. Two equal
+//! answers with the members of the buckets that differ, one checksum each, as many
+//! as fit into one datagram; then only the records that differ are sent. Two equal
 //! tables cost one digest.
 
 use std::collections::{
@@ -16,59 +16,64 @@
 };
 use crate::clock::Time;
 
-/// Buckets of a digest, one bit of a mask each.
+/// Number of buckets of a digest; each is one bit of a `u64` mask.
 const BUCKETS: u32 = 64;
-/// Members whose checksums fit one datagram, at most.
-const ENTRIES: usize = 150;
-/// Bytes of updates in one datagram.
-const PAGE: usize = 1150;
+/// Maximum read_u32 of members whose checksums fit into one datagram.
+const MAX_ENTRIES: usize = 150;
+/// Maximum encoded length of the updates in one datagram, in bytes.
+const MAX_PAGE_LEN: usize = 1150;
 
-/// The checksums of all buckets.
+/// The checksums of all buckets of a table.
 pub(crate) fn digest(table: &Table) -> Vec<u8> {
     let mut buckets = [0_u32; BUCKETS as usize];
-    for (hash, state) in table.states() {
-        buckets[(hash % BUCKETS) as usize] ^= state;
+    for (hash, checksum) in table.checksums() {
+        buckets[(hash % BUCKETS) as usize] ^= checksum;
     }
     buckets.iter().flat_map(|sum| sum.to_be_bytes()).collect()
 }
 
-/// The members of buckets that differ from a peer's digest, as many whole
-/// buckets as fit, beginning at a random one so that repeats go round.
-pub(super) fn differ(table: &Table, theirs: &[u8], first: u32) -> (u64, Vec<u8>) {
+/// The members of the buckets that differ from a peer's digest, as many whole
+/// buckets as fit, starting at bucket `first`. Callers choose it at random, so
+/// that repeated exchanges cover all buckets.
+pub(super) fn differing_entries(table: &Table, theirs: &[u8], first: u32) -> (u64, Vec<u8>) {
     let ours = digest(table);
     if theirs.len() != ours.len() {
         return (0, Vec::new());
     }
     let differs = |bucket: &u32| {
-        let at = *bucket as usize * 4;
-        ours[at..at + 4] != theirs[at..at + 4]
+        let offset = *bucket as usize * 4;
+        ours[offset..offset + 4] != theirs[offset..offset + 4]
     };
-    let mut held: BTreeMap<u32, Vec<(u32, u32)>> = BTreeMap::new();
-    for (hash, state) in table.states() {
-        held.entry(hash % BUCKETS).or_default().push((hash, state));
+    let mut members_by_bucket: BTreeMap<u32, Vec<(u32, u32)>> = BTreeMap::new();
+    for (hash, checksum) in table.checksums() {
+        members_by_bucket
+            .entry(hash % BUCKETS)
+            .or_default()
+            .push((hash, checksum));
     }
     let mut mask = 0;
     let mut entries = Vec::new();
-    let mut room = ENTRIES;
+    let mut remaining = MAX_ENTRIES;
     for bucket in (0..BUCKETS).map(|i| (first + i) % BUCKETS).filter(differs) {
-        let members = held.remove(&bucket).unwrap_or_default();
-        // A bucket that alone is too large goes cut: the rest is repaired
-        // from the other side's exchanges.
-        let taken = members.len().min(ENTRIES);
-        if taken > room {
+        let members = members_by_bucket.remove(&bucket).unwrap_or_default();
+        // A bucket that is too large on its own is truncated. The exchanges
+        // that the other side starts repair the rest.
+        let taken = members.len().min(MAX_ENTRIES);
+        if taken > remaining {
             break;
         }
-        room -= taken;
+        remaining -= taken;
         mask |= 1 << bucket;
-        for (hash, state) in &members[..taken] {
+        for (hash, checksum) in &members[..taken] {
             entries.extend(hash.to_be_bytes());
-            entries.extend(state.to_be_bytes());
+            entries.extend(checksum.to_be_bytes());
         }
     }
     (mask, entries)
 }
 
-/// What to send and what to ask for, after a peer listed some buckets.
+/// Compares the entries of some buckets of a peer with the table. Returns the
+/// records to send, and the name hashes of the records to request.
 pub(super) fn compare(
     now: Time,
     table: &Table,
@@ -76,43 +81,45 @@
     entries: &[u8],
 ) -> (Vec<Update>, Vec<u8>) {
     let ours: BTreeMap<u32, u32> = table
-        .states()
+        .checksums()
         .filter(|(hash, _)| mask & (1 << (hash % BUCKETS)) != 0)
         .collect();
-    let mut send = Vec::new();
-    let mut want = Vec::new();
+    let mut to_send = Vec::new();
+    let mut to_request = Vec::new();
     let mut theirs = BTreeSet::new();
-    for (hash, state) in pairs(entries) {
+    for (hash, checksum) in entry_pairs(entries) {
         theirs.insert(hash);
-        if ours.get(&hash) == Some(&state) {
+        if ours.get(&hash) == Some(&checksum) {
             continue;
         }
-        send.extend(table.hashed(now, hash));
-        want.extend(hash.to_be_bytes());
+        to_send.extend(table.update_by_hash(now, hash));
+        to_request.extend(hash.to_be_bytes());
     }
     let missing = ours.keys().filter(|hash| !theirs.contains(hash));
-    send.extend(missing.filter_map(|hash| table.hashed(now, *hash)));
-    (send, want)
+    to_send.extend(missing.filter_map(|hash| table.update_by_hash(now, *hash)));
+    (to_send, to_request)
 }
 
-/// The records of the members that a peer asked for.
-pub(super) fn wanted(now: Time, table: &Table, hashes: &[u8]) -> Vec<Update> {
-    let hashes = hashes.chunks_exact(4).take(ENTRIES).map(number);
-    hashes.filter_map(|hash| table.hashed(now, hash)).collect()
+/// The records of the members that a peer requested by name hash.
+pub(super) fn requested_updates(now: Time, table: &Table, hashes: &[u8]) -> Vec<Update> {
+    let hashes = hashes.chunks_exact(4).take(MAX_ENTRIES).map(read_u32);
+    hashes
+        .filter_map(|hash| table.update_by_hash(now, hash))
+        .collect()
 }
 
-/// Splits records into datagrams.
+/// Splits records into pages that fit into one datagram each.
 pub(super) fn pages(updates: Vec<Update>) -> Vec<Vec<Update>> {
     let mut pages = Vec::new();
     let mut page = Vec::new();
-    let mut left = PAGE;
+    let mut remaining = MAX_PAGE_LEN;
     for update in updates {
-        let cost = update.cost();
-        if cost > left && !page.is_empty() {
+        let len = update.max_encoded_len();
+        if len > remaining && !page.is_empty() {
             pages.push(std::mem::take(&mut page));
-            left = PAGE;
+            remaining = MAX_PAGE_LEN;
         }
-        left = left.saturating_sub(cost);
+        remaining = remaining.saturating_sub(len);
         page.push(update);
     }
     if !page.is_empty() {
@@ -121,12 +128,12 @@
     pages
 }
 
-fn pairs(bytes: &[u8]) -> impl Iterator<Item = (u32, u32)> {
+fn entry_pairs(bytes: &[u8]) -> impl Iterator<Item = (u32, u32)> {
     bytes
         .chunks_exact(8)
-        .map(|pair| (number(&pair[..4]), number(&pair[4..])))
+        .map(|pair| (read_u32(&pair[..4]), read_u32(&pair[4..])))
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn read_u32(bytes: &[u8]) -> u32 {
     bytes.iter().fold(0, |n, byte| n << 8 | u32::from(*byte))
 }
--- a/src/process/member/packed.rs
+++ b/src/process/member/packed.rs
@@ -1,4 +1,5 @@
-//! Addresses as short byte strings: four or sixteen bytes and the port.
+//! Serde encoding of socket addresses as byte strings: an IPv4 or IPv6 address of
+//! 4 or 16 bytes, followed by the port in big-endian order.
 
 use std::net::{
     IpAddr,
@@ -14,9 +15,9 @@
     de::Error, //
 };
 
-/// Bytes of an address without its port, by family.
-const V4: usize = 4;
-const V6: usize = 16;
+/// Length of an address in bytes, without the port.
+const IPV4_LEN: usize = 4;
+const IPV6_LEN: usize = 16;
 
 pub(super) fn serialize<S: Serializer>(
     address: &SocketAddr,
@@ -36,11 +37,11 @@
     let bytes = serde_bytes::ByteBuf::deserialize(deserializer)?;
     let (host, port) = bytes
         .split_last_chunk::<2>()
-        .ok_or_else(|| D::Error::custom("an address without a port"))?;
+        .ok_or_else(|| D::Error::custom("packed address has no port"))?;
     let ip = match host.len() {
-        V4 => <[u8; V4]>::try_from(host).map(|octets| Ipv4Addr::from(octets).into()),
-        V6 => <[u8; V6]>::try_from(host).map(|octets| Ipv6Addr::from(octets).into()),
-        _ => return Err(D::Error::custom("an address of no known family")),
+        IPV4_LEN => <[u8; IPV4_LEN]>::try_from(host).map(|octets| Ipv4Addr::from(octets).into()),
+        IPV6_LEN => <[u8; IPV6_LEN]>::try_from(host).map(|octets| Ipv6Addr::from(octets).into()),
+        _ => return Err(D::Error::custom("packed address is neither IPv4 nor IPv6")),
     };
     let ip: IpAddr = ip.map_err(D::Error::custom)?;
     Ok(SocketAddr::new(ip, u16::from_be_bytes(*port)))
--- a/src/process/member/probe.rs
+++ b/src/process/member/probe.rs
@@ -1,9 +1,8 @@
-//! Which member is probed when, and what silence means.
+//! Schedules probes and tracks the ones that wait for an answer.
 //!
-//! Members of the own failure domain take turns in a random order, so that
-//! each is probed in every turn. One probe in [`ABROAD`] crosses to another
-//! domain: that finds a domain that is gone as a whole, when nobody within it
-//! is left to tell.
+//! Members of this node's failure domain are is_probeable in a random order, each once
+//! per cycle. One probe in [`CROSS_DOMAIN_EVERY`] goes to another domain. These detect the
+//! failure of a whole domain, in which no member is left to report it.
 
 use std::{
     collections::BTreeMap,
@@ -29,92 +28,92 @@
     id::Instance,
 };
 
-/// Time between two probes.
-pub(super) const PERIOD: Span = Span::from_ms(500);
-/// Time that a direct answer gets before the probe is repeated and others are
-/// asked to help.
-const DIRECT: Span = Span::from_ms(300);
-/// Time that any answer gets.
-const WAIT: Span = Span::from_ms(800);
-/// Members that are asked to probe on one's behalf.
-pub(super) const HELPERS: usize = 3;
-/// One probe in so many crosses to another domain.
-const ABROAD: u32 = 3;
-
-/// A probe that waits for its answer.
+/// Interval between probes.
+pub(super) const PROBE_INTERVAL: Span = Span::from_ms(500);
+/// Time to wait for a direct answer before the probe is repeated and other
+/// members are asked to probe.
+const DIRECT_TIMEOUT: Span = Span::from_ms(300);
+/// Time to wait for any answer, direct or indirect.
+const PROBE_TIMEOUT: Span = Span::from_ms(800);
+/// Number of members that are asked to probe on this node's behalf.
+pub(super) const INDIRECT_PROBES: usize = 3;
+/// One probe in this many goes to another domain.
+const CROSS_DOMAIN_EVERY: u32 = 3;
+
+/// A probe that waits for an answer.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingProbe {
     pub(super) target: Instance,
     pub(super) tag: u32,
-    pub(super) sent: Time,
-    helped: bool,
+    pub(super) sent_at: Time,
+    relays_requested: bool,
 }
 
-/// A probe made for another member.
+/// A probe on behalf of another member.
 #[derive(Clone, Debug)]
-pub(super) struct Relay {
+pub(super) struct RelayedProbe {
     pub(super) origin: SocketAddr,
     pub(super) number: u32,
-    until: Time,
+    expires_at: Time,
 }
 
-/// What became of waiting probes.
+/// The pending probes that have reached a timeout.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Due {
-    /// Others are to be asked, under this number.
-    pub(super) help: Vec<(u32, Pending)>,
-    /// No answer came by any way.
-    pub(super) silent: Vec<Pending>,
+pub(super) struct ProbeTimeouts {
+    /// Probes without a direct answer, by number: other members are to be asked.
+    pub(super) direct: Vec<(u32, PendingProbe)>,
+    /// Probes without any answer.
+    pub(super) expired: Vec<PendingProbe>,
 }
 
-/// The probes of one node.
+/// The probe schedule and the pending probes of one node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Prober {
-    home: Vec<Instance>,
-    abroad: Vec<Instance>,
-    turns: u32,
-    next: Time,
-    number: u32,
-    pending: BTreeMap<u32, Pending>,
-    relays: BTreeMap<u32, Relay>,
+    local: Vec<Instance>,
+    remote: Vec<Instance>,
+    probes: u32,
+    next_at: Time,
+    last_number: u32,
+    pending: BTreeMap<u32, PendingProbe>,
+    relays: BTreeMap<u32, RelayedProbe>,
 }
 
 impl Prober {
-    /// The member whose turn it is, once in a period.
-    pub(super) fn turn(
+    /// The member to probe now, if a probe is due.
+    pub(super) fn next_target(
         &mut self,
         now: Time,
         me: &Peer,
         table: &Table,
         rng: &mut ChaCha8Rng,
     ) -> Option<Instance> {
-        if now < self.next {
+        if now < self.next_at {
             return None;
         }
-        // A random part keeps nodes that began together from staying in step.
-        let jitter = rng.random_range(0..PERIOD.as_ms() / 10);
-        self.next = now + PERIOD + Span::from_ms(jitter);
-        self.turns = self.turns.wrapping_add(1);
-        let abroad_first = self.turns.is_multiple_of(ABROAD);
-        self.draw(abroad_first, me, table, rng)
-            .or_else(|| self.draw(!abroad_first, me, table, rng))
+        // Jitter keeps nodes that started together from probing in lockstep.
+        let jitter = rng.random_range(0..PROBE_INTERVAL.as_ms() / 10);
+        self.next_at = now + PROBE_INTERVAL + Span::from_ms(jitter);
+        self.probes = self.probes.wrapping_add(1);
+        let remote_first = self.probes.is_multiple_of(CROSS_DOMAIN_EVERY);
+        self.draw_target(remote_first, me, table, rng)
+            .or_else(|| self.draw_target(!remote_first, me, table, rng))
     }
 
-    fn draw(
+    fn draw_target(
         &mut self,
-        abroad: bool,
+        remote: bool,
         me: &Peer,
         table: &Table,
         rng: &mut ChaCha8Rng,
     ) -> Option<Instance> {
-        let order = match abroad {
-            true => &mut self.abroad,
-            false => &mut self.home,
+        let order = match remote {
+            true => &mut self.remote,
+            false => &mut self.local,
         };
         if order.is_empty() {
-            *order = match abroad {
-                true => names(table.iter().filter(|p| p.domain != me.domain)),
-                false => names(
+            *order = match remote {
+                true => probeable_names(table.iter().filter(|p| p.domain != me.domain)),
+                false => probeable_names(
                     table
                         .in_domain(&me.domain)
                         .filter(|p| p.instance != me.instance),
@@ -123,83 +122,89 @@
             order.shuffle(rng);
         }
         while let Some(name) = order.pop() {
-            if table.get(&name).is_some_and(probed) {
+            if table.get(&name).is_some_and(is_probeable) {
                 return Some(name);
             }
         }
         None
     }
 
-    /// Notes a probe of a member, and returns its number and mark.
-    pub(super) fn start(&mut self, now: Time, peer: &Peer) -> (u32, u32) {
-        self.number = self.number.wrapping_add(1);
+    /// Registers a probe of a member, and returns its number and the tag of the
+    /// expected incarnation.
+    pub(super) fn start_probe(&mut self, now: Time, peer: &Peer) -> (u32, u32) {
+        self.last_number = self.last_number.wrapping_add(1);
         let tag = super::table::incarnation_tag(&peer.instance, peer.incarnation);
-        let pending = Pending {
+        let pending = PendingProbe {
             target: peer.instance.clone(),
             tag,
-            sent: now,
-            helped: false,
+            sent_at: now,
+            relays_requested: false,
         };
-        self.pending.insert(self.number, pending);
-        (self.number, tag)
+        self.pending.insert(self.last_number, pending);
+        (self.last_number, tag)
     }
 
-    /// Notes a probe that is made for another member, and returns its number.
-    pub(super) fn relay(&mut self, now: Time, origin: SocketAddr, number: u32) -> u32 {
-        self.number = self.number.wrapping_add(1);
-        let until = now + WAIT;
-        let relay = Relay {
+    /// Registers a probe on behalf of another member, and returns its number.
+    pub(super) fn start_relayed_probe(
+        &mut self,
+        now: Time,
+        origin: SocketAddr,
+        number: u32,
+    ) -> u32 {
+        self.last_number = self.last_number.wrapping_add(1);
+        let expires_at = now + PROBE_TIMEOUT;
+        let relay = RelayedProbe {
             origin,
             number,
-            until,
+            expires_at,
         };
-        self.relays.insert(self.number, relay);
-        self.number
+        self.relays.insert(self.last_number, relay);
+        self.last_number
     }
 
-    /// The probe that this answers.
-    pub(super) fn answered(&mut self, number: u32, tag: u32) -> Option<Pending> {
-        let fits = self.pending.get(&number).is_some_and(|p| p.tag == tag);
-        fits.then(|| self.pending.remove(&number)).flatten()
+    /// Removes and returns the pending probe that this answers.
+    pub(super) fn take_answered(&mut self, number: u32, tag: u32) -> Option<PendingProbe> {
+        let matches = self.pending.get(&number).is_some_and(|p| p.tag == tag);
+        matches.then(|| self.pending.remove(&number)).flatten()
     }
 
-    /// The relayed probe that this answers.
-    pub(super) fn relayed(&mut self, number: u32) -> Option<Relay> {
+    /// Removes and returns the relayed probe that this answers.
+    pub(super) fn take_relayed(&mut self, number: u32) -> Option<RelayedProbe> {
         self.relays.remove(&number)
     }
 
-    /// Probes that need help, and those that are over.
-    pub(super) fn due(&mut self, now: Time) -> Due {
-        let mut due = Due::default();
-        self.relays.retain(|_, relay| relay.until > now);
+    /// The probes that have reached a timeout.
+    pub(super) fn take_timeouts(&mut self, now: Time) -> ProbeTimeouts {
+        let mut timeouts = ProbeTimeouts::default();
+        self.relays.retain(|_, relay| relay.expires_at > now);
         for (number, pending) in &mut self.pending {
-            if !pending.helped && now.since(pending.sent) >= DIRECT {
-                pending.helped = true;
-                due.help.push((*number, pending.clone()));
+            if !pending.relays_requested && now.since(pending.sent_at) >= DIRECT_TIMEOUT {
+                pending.relays_requested = true;
+                timeouts.direct.push((*number, pending.clone()));
             }
         }
-        let over = self
+        let expired = self
             .pending
-            .extract_if(.., |_, pending| now.since(pending.sent) >= WAIT);
-        due.silent = over.map(|(_, pending)| pending).collect();
-        due
+            .extract_if(.., |_, pending| now.since(pending.sent_at) >= PROBE_TIMEOUT);
+        timeouts.expired = expired.map(|(_, pending)| pending).collect();
+        timeouts
     }
 
-    /// Drops what was under way: this node was paused, so the answers may have
-    /// been lost here.
+    /// Drops all pending probes: this process was paused, so their answers may have
+    /// been lost on this side.
     pub(super) fn reset(&mut self) {
         self.pending.clear();
         self.relays.clear();
     }
 }
 
-fn names<'a>(peers: impl Iterator<Item = &'a Peer>) -> Vec<Instance> {
+fn probeable_names<'a>(peers: impl Iterator<Item = &'a Peer>) -> Vec<Instance> {
     peers
-        .filter(|peer| probed(peer))
+        .filter(|peer| is_probeable(peer))
         .map(|peer| peer.instance.clone())
         .collect()
 }
 
-fn probed(peer: &Peer) -> bool {
+fn is_probeable(peer: &Peer) -> bool {
     peer.status != Status::Dead
 }
--- a/src/process/member/seed.rs
+++ b/src/process/member/seed.rs
@@ -1,8 +1,9 @@
-//! The few members of each domain that the store names, for those who join.
+//! Seeds: a few members of each domain that are has_listed in the store, so that new
+//! nodes find the fleet.
 //!
-//! A seed's entry hangs on a lease, so it goes with its node. Every call to
-//! the store waits for the one before it, and a lost one for a random time
-//! that doubles: a store that comes back meets no herd.
+//! A seed's entry is bound to a lease, so it disappears with its node. One call to
+//! the store is in flight at a time, and lost calls are retried with randomized
+//! exponential backoff, so that a recovering store meets no thundering herd.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -23,26 +24,26 @@
     },
 };
 
-/// Where seeds are in the store, by domain and instance.
-pub const SEEDS: &str = "bluebellswitch/seed/";
-/// How long an entry outlives its node.
-const TTL: Span = Span::from_secs(120);
-/// Time between two renewals.
-const RENEW: Span = Span::from_secs(40);
-/// Time between two looks at the list, by the first seed of a domain.
-const LIST: Span = Span::from_secs(60);
-/// Time between two looks at the list while nobody else is known.
-const LONELY: Span = Span::from_secs(3);
-/// The first and the longest wait after a lost call.
-const BACKOFF: Span = Span::from_ms(500);
-const BACKOFF_LIMIT: Span = Span::from_secs(30);
+/// Key prefix of the seed entries, followed by domain and instance.
+pub const SEED_PREFIX: &str = "bluebellswitch/seed/";
+/// Lease duration of an entry.
+const ENTRY_TTL: Span = Span::from_secs(120);
+/// Interval between lease renewals.
+const RENEWAL_INTERVAL: Span = Span::from_secs(40);
+/// Interval between reads of the list by the first seed of a domain.
+const LIST_INTERVAL: Span = Span::from_secs(60);
+/// Interval between reads of the list while no other member is known.
+const ISOLATED_LIST_INTERVAL: Span = Span::from_secs(3);
+/// Initial and maximum backoff after a lost call.
+const INITIAL_BACKOFF: Span = Span::from_ms(500);
+const MAX_BACKOFF: Span = Span::from_secs(30);
 
-/// What this node is to the store's list.
+/// This node's role with regard to the seed list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedRole {
-    /// It is one of its domain's seeds.
+    /// It is one of the seeds of its domain.
     pub is_seed: bool,
-    /// It looks at the list regularly.
+    /// It reads the list regularly.
     pub is_reader: bool,
     /// It knows no other member.
     pub is_alone: bool,
@@ -57,21 +58,21 @@
     Leave,
 }
 
-/// One node's entry in the list, and its view of it.
+/// Maintains this node's entry in the seed list and reads the list.
 #[derive(Clone, Debug, Default)]
 pub struct SeedClient {
-    waiting: Option<Step>,
+    in_flight: Option<Step>,
     lease: Option<Lease>,
-    written: bool,
+    is_written: bool,
     revision: Revision,
-    listed: bool,
-    next_list: Time,
-    next_lease: Time,
-    lost: u32,
+    has_listed: bool,
+    next_list_at: Time,
+    next_lease_at: Time,
+    lost_calls: u32,
 }
 
 impl SeedClient {
-    /// The call that is due, if any. One call is under way at a time.
+    /// The call that is due, if any. At most one call is in flight.
     pub fn tick(
         &mut self,
         now: Time,
@@ -79,37 +80,37 @@
         me: &Peer,
         rng: &mut ChaCha8Rng,
     ) -> Option<Call> {
-        if self.waiting.is_some() {
+        if self.in_flight.is_some() {
             return None;
         }
-        let (step, call) = self.due(now, role, me, rng)?;
-        self.waiting = Some(step);
+        let (step, call) = self.next_call(now, role, me, rng)?;
+        self.in_flight = Some(step);
         Some(call)
     }
 
-    fn due(
+    fn next_call(
         &mut self,
         now: Time,
         role: SeedRole,
         me: &Peer,
         rng: &mut ChaCha8Rng,
     ) -> Option<(Step, Call)> {
-        if now >= self.next_list && (role.is_alone || role.is_reader || !self.listed) {
-            let pause = match role.is_alone {
-                true => LONELY,
-                false => LIST,
+        if now >= self.next_list_at && (role.is_alone || role.is_reader || !self.has_listed) {
+            let interval = match role.is_alone {
+                true => ISOLATED_LIST_INTERVAL,
+                false => LIST_INTERVAL,
             };
-            self.next_list = now + jittered(pause, rng);
-            let prefix = SEEDS.to_owned();
+            self.next_list_at = now + jittered(interval, rng);
+            let prefix = SEED_PREFIX.to_owned();
             return Some((Step::List, Call::List { prefix }));
         }
-        if now < self.next_lease || !self.listed {
+        if now < self.next_lease_at || !self.has_listed {
             return None;
         }
         match (role.is_seed, self.lease) {
-            (true, None) => Some((Step::Grant, Call::Grant { ttl: TTL })),
-            (true, Some(lease)) if !self.written => {
-                Some((Step::Write(lease), self.write(me, lease)?))
+            (true, None) => Some((Step::Grant, Call::Grant { ttl: ENTRY_TTL })),
+            (true, Some(lease)) if !self.is_written => {
+                Some((Step::Write(lease), self.write_call(me, lease)?))
             }
             (true, Some(lease)) => Some((Step::Renew, Call::Renew { lease })),
             (false, Some(lease)) => Some((Step::Leave, Call::Revoke { lease })),
@@ -117,34 +118,36 @@
         }
     }
 
-    fn write(&self, me: &Peer, lease: Lease) -> Option<Call> {
+    fn write_call(&self, me: &Peer, lease: Lease) -> Option<Call> {
         let value = serde_json::to_string(me).ok()?;
         Some(Call::Swap {
-            key: format!("{SEEDS}{}/{}", me.domain, me.instance),
+            key: format!("{SEED_PREFIX}{}/{}", me.domain, me.instance),
             expect: self.revision,
             value: Some(value),
             lease: Some(lease),
         })
     }
 
-    /// Takes the answer in, and returns the members that the store names.
+    /// Handles the answer to the call in flight, and returns the members that the
+    /// store lists.
     pub fn handle_answer(&mut self, now: Time, answer: Answer, rng: &mut ChaCha8Rng) -> Vec<Peer> {
-        let Some(step) = self.waiting.take() else {
+        let Some(step) = self.in_flight.take() else {
             return Vec::new();
         };
         if answer == Answer::Lost {
             self.back_off(now, step, rng);
             return Vec::new();
         }
-        self.lost = 0;
+        self.lost_calls = 0;
         match (step, answer) {
             (Step::List, Answer::Values(entries)) => {
-                // Nodes that begin together and find nothing do not write
-                // their entries together.
-                if !self.listed {
-                    self.next_lease = now + Span::from_ms(rng.random_range(0..LONELY.as_ms()));
+                // Nodes that start at the same time spread their first writes
+                // over a random delay.
+                if !self.has_listed {
+                    self.next_lease_at =
+                        now + Span::from_ms(rng.random_range(0..ISOLATED_LIST_INTERVAL.as_ms()));
                 }
-                self.listed = true;
+                self.has_listed = true;
                 let peers = entries
                     .iter()
                     .map(|entry| serde_json::from_str(&entry.value));
@@ -152,22 +155,24 @@
             }
             (Step::Grant, Answer::Leased { lease, .. }) => {
                 self.lease = Some(lease);
-                self.written = false;
+                self.is_written = false;
             }
             (Step::Write(_), Answer::Swapped(revision)) => {
-                self.written = true;
+                self.is_written = true;
                 self.revision = revision;
-                self.next_lease = now + jittered(RENEW, rng);
+                self.next_lease_at = now + jittered(RENEWAL_INTERVAL, rng);
             }
-            // An entry of a former life, or this node's own write whose answer
-            // was lost: it is written again over that.
+            // An entry of a previous incarnation, or this node's own write
+            // whose answer was lost: the next write replaces it.
             (Step::Write(_), Answer::Conflict(entry)) => {
                 self.revision = entry.map_or(Revision(0), |entry| entry.revision);
             }
-            (Step::Renew, Answer::Leased { .. }) => self.next_lease = now + jittered(RENEW, rng),
+            (Step::Renew, Answer::Leased { .. }) => {
+                self.next_lease_at = now + jittered(RENEWAL_INTERVAL, rng)
+            }
             (Step::Renew | Step::Write(_), _) | (Step::Leave, _) => {
                 self.lease = None;
-                self.written = false;
+                self.is_written = false;
                 self.revision = Revision(0);
             }
             (Step::List | Step::Grant, _) => self.back_off(now, step, rng),
@@ -176,23 +181,24 @@
     }
 
     fn back_off(&mut self, now: Time, step: Step, rng: &mut ChaCha8Rng) {
-        let next = now + backoff_with_jitter(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
-        self.lost += 1;
+        let next_at = now + backoff_with_jitter(self.lost_calls, INITIAL_BACKOFF, MAX_BACKOFF, rng);
+        self.lost_calls += 1;
         match step {
-            Step::List => self.next_list = next,
-            _ => self.next_lease = next,
+            Step::List => self.next_list_at = next_at,
+            _ => self.next_lease_at = next_at,
         }
     }
 }
 
-/// A random wait whose bound doubles with each loss.
+/// Randomized exponential backoff: a random delay whose upper bound doubles with
+/// each lost call.
 pub(crate) fn backoff_with_jitter(
-    lost: u32,
+    lost_calls: u32,
     first: Span,
     limit: Span,
     rng: &mut ChaCha8Rng,
 ) -> Span {
-    let bound = first.as_ms().saturating_mul(1 << lost.min(16));
+    let bound = first.as_ms().saturating_mul(1 << lost_calls.min(16));
     let bound = bound.clamp(first.as_ms(), limit.as_ms());
     Span::from_ms(rng.random_range(bound / 4..=bound))
 }
--- a/src/process/member/wire.rs
+++ b/src/process/member/wire.rs
@@ -1,7 +1,7 @@
-//! What members tell each other, in short forms.
+//! Wire format of the membership protocol.
 //!
-//! Names of fields are one letter on the wire: at 1,200 members these messages
-//! are most of what a node sends for control.
+//! Field names are one letter on the wire: at 1,200 members these messages are
+//! most of the control traffic of a node.
 
 use std::net::SocketAddr;
 
@@ -25,139 +25,144 @@
     },
 };
 
-/// Bytes of an update beside its names, at most.
-const UPDATE_COST: usize = 30;
-/// Bytes of a card beside its names, at most, with addresses of sixteen bytes.
-const CARD_COST: usize = 56;
+/// Maximum encoded length of an update without its instance name and card, in
+/// bytes.
+const UPDATE_BASE_LEN: usize = 30;
+/// Maximum encoded length of a card without its names, in bytes, with IPv6
+/// addresses.
+const CARD_BASE_LEN: usize = 56;
 
-/// One datagram of the membership protocol.
+/// A datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// What it is for.
+    /// The kind of the message, with its own data.
     #[serde(rename = "k")]
     pub kind: Kind,
-    /// What the sender knows of the configuration's freshness.
+    /// The sender's view of the configuration's freshness.
     #[serde(rename = "n")]
     pub news: News,
-    /// Changes that ride along.
+    /// Piggybacked membership changes.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<Update>,
 }
 
-/// What a message is for.
+/// The kind of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Are you there, and the life that I know?
+    /// Probes the receiver, and tells which incarnation of it the sender expects.
     #[serde(rename = "p")]
     Ping {
-        /// Comes back on the answer.
+        /// Sequence number, repeated in the answer.
         #[serde(rename = "n")]
         number: u32,
-        /// The life that is meant.
+        /// Tag of the expected incarnation.
         #[serde(rename = "t")]
         tag: u32,
     },
-    /// Ping that member for me.
+    /// Asks the receiver to probe another member on the sender's behalf.
     #[serde(rename = "v")]
     Via {
-        /// Comes back on the answer.
+        /// Sequence number, repeated in the answer.
         #[serde(rename = "n")]
         number: u32,
-        /// The life that is meant.
+        /// Tag of the expected incarnation.
         #[serde(rename = "t")]
         tag: u32,
-        /// Where it accepts datagrams.
+        /// The datagram address of the member to probe.
         #[serde(rename = "a", with = "packed")]
         target: SocketAddr,
     },
-    /// The member is there.
+    /// Answers a probe.
     #[serde(rename = "a")]
     Ack {
-        /// The number of the ping.
+        /// The sequence number of the probe.
         #[serde(rename = "n")]
         number: u32,
-        /// The life that answers.
+        /// Tag of the answering incarnation.
         #[serde(rename = "t")]
         tag: u32,
     },
-    /// Nothing but the news and the changes.
+    /// Carries only the news and the changes.
     #[serde(rename = "g")]
     Gossip,
-    /// Records that an exchange found missing. They are not spread further: a
-    /// node that has just joined would tell everybody of everybody.
+    /// Carries records that differed in an exchange. The receiver does not gossip
+    /// them further: a node that has just joined would otherwise send the whole
+    /// table to everyone.
     #[serde(rename = "e")]
     Page,
-    /// One checksum for each bucket of the sender's table.
+    /// Starts an exchange: one checksum for each bucket of the sender's table.
     #[serde(rename = "d")]
     Digest {
-        /// Checksums, four bytes each.
+        /// The checksums, four bytes each.
         #[serde(rename = "b")]
         buckets: ByteBuf,
     },
-    /// The members of some buckets that differ.
+    /// Answers a digest with the members of some buckets that differ.
     #[serde(rename = "f")]
     Differ {
-        /// The buckets, one bit each.
+        /// The buckets that are included, one bit each.
         #[serde(rename = "m")]
         mask: u64,
-        /// Hash of the name and checksum of the state, four bytes each.
+        /// For each member, the hash of its name and the checksum of its state, four
+        /// bytes each.
         #[serde(rename = "e")]
         entries: ByteBuf,
     },
-    /// Send me what you know of these members.
+    /// Requests the records of some members.
     #[serde(rename = "w")]
     Want {
-        /// Hashes of names, four bytes each.
+        /// Hashes of the members' names, four bytes each.
         #[serde(rename = "h")]
         hashes: ByteBuf,
     },
 }
 
-/// The state of one member, as it is spread.
+/// The record of one member, as it is gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Whose.
+    /// The member.
     #[serde(rename = "i")]
     pub instance: Instance,
-    /// In which life.
+    /// The incarnation that the record describes.
     #[serde(rename = "l")]
     pub incarnation: Incarnation,
-    /// Which of its announcements in that life.
+    /// The revision of the member's own record within that incarnation.
     #[serde(rename = "r")]
     pub revision: u32,
-    /// What is believed.
+    /// The state of the member.
     #[serde(rename = "s")]
     pub status: Status,
-    /// Its own description; a suspicion or a death goes without.
+    /// The member's description of itself; absent if the member is suspected or dead.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub card: Option<Card>,
 }
 
-/// What a member says of itself.
+/// A member's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Card {
-    /// Its failure domain.
+    /// The failure domain.
     #[serde(rename = "d")]
     pub domain: Domain,
-    /// The pool that its upstream belongs to.
+    /// The pool that the upstream belongs to.
     #[serde(rename = "p")]
     pub pool: Pool,
-    /// Where it accepts links.
+    /// The address that accepts links.
     #[serde(rename = "l", with = "packed")]
     pub link: SocketAddr,
-    /// Where it accepts datagrams.
+    /// The address that accepts datagrams.
     #[serde(rename = "g", with = "packed")]
     pub datagram: SocketAddr,
-    /// For how many seconds its upstream has taken requests, 255 at most;
-    /// absent when it takes none.
+    /// For how many seconds the upstream has accepted requests, capped at 255; absent
+    /// if it accepts none.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
     pub ready: Option<u8>,
 }
 
 impl Update {
     /// An upper bound on the encoded length, in bytes.
-    pub fn cost(&self) -> usize {
-        let card = |card: &Card| CARD_COST + card.domain.as_str().len() + card.pool.as_str().len();
-        UPDATE_COST + self.instance.as_str().len() + self.card.as_ref().map_or(0, card)
+    pub fn max_encoded_len(&self) -> usize {
+        let card =
+            |card: &Card| CARD_BASE_LEN + card.domain.as_str().len() + card.pool.as_str().len();
+        UPDATE_BASE_LEN + self.instance.as_str().len() + self.card.as_ref().map_or(0, card)
     }
 }
