--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -8,8 +8,8 @@
 use self::seats::Plan;
 use super::{
     Action,
-    Asker,
-    Core, //
+    Core,
+    StoreCaller, //
 };
 use crate::{
     clock::{
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Seat, //
-        SeatManager,
+        Seat,
+        SeatManager, //
     },
     message::Message,
     quota::{
@@ -92,10 +92,10 @@
     /// Shares rates in another way, and goes by other times of leases, from the
     /// beginning of the node on.
     pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
-        self.quota.switch(mode);
+        self.quota.set_mode(mode);
         self.rights.keeper.configure(setting);
-        if let Mode::Standing(percent, _) = mode {
-            self.rights.owner.reserve(percent);
+        if let Mode::GrantsAndFixedShares(percent, _) = mode {
+            self.rights.owner.withhold_percent(percent);
         }
     }
 
@@ -110,7 +110,7 @@
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
             self.rights.directory.plan(plan.records());
             self.rights.plan = plan;
-            self.quota.adopt(now, &self.snapshot.teams.teams);
+            self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
         let mut actions = Vec::new();
         let Rights { keeper, plan, .. } = &mut self.rights;
@@ -118,7 +118,7 @@
         keeper.tick(now, &self.members, wanted, successors, &mut actions);
         self.rights_do(actions, out);
         for team in self.quota.tick(now) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.rights_send(now, out);
         self.records_tick(now, out);
@@ -164,7 +164,7 @@
         let owner = &mut self.rights.owner;
         let accounts = self.rights.accounts.get_or_insert_with(|| {
             owner.advance(now);
-            owner.accounts()
+            owner.settled_buckets()
         });
         let accounts = accounts.clone();
         let successor = self.rights.keeper.successor().cloned();
@@ -199,7 +199,12 @@
         self.rights_do(actions, out);
     }
 
-    pub(super) fn lease(&mut self, now: Time, message: lease::Message, out: &mut Vec<Action>) {
+    pub(super) fn on_lease_message(
+        &mut self,
+        now: Time,
+        message: lease::Message,
+        out: &mut Vec<Action>,
+    ) {
         let mut actions = Vec::new();
         self.rights.keeper.message(now, message, &mut actions);
         self.rights_do(actions, out);
@@ -209,15 +214,22 @@
         for action in actions {
             match action {
                 lease::Action::Store(ticket, call) => {
-                    let number = self.ask(Asker::Rights, call, out);
+                    let number = self.call_store(StoreCaller::Rights, call, out);
                     self.rights.tickets.insert(number, ticket);
                 }
-                lease::Action::Send(to, message) => self.tell(&to, Message::Lease(message), out),
+                lease::Action::Send(to, message) => {
+                    self.send_message(&to, Message::Lease(message), out)
+                }
             }
         }
     }
 
-    pub(super) fn quota(&mut self, now: Time, message: quota::Message, out: &mut Vec<Action>) {
+    pub(super) fn on_quota_message(
+        &mut self,
+        now: Time,
+        message: quota::Message,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             quota::Message::Ask(ask) => {
                 let reply = self.grant(now, &ask);
@@ -236,10 +248,10 @@
                 number,
                 reply,
             } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
+            quota::Message::Buckets(accounts) => self.rights.owner.inherit_buckets(accounts),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
-                    self.rights.owner.returned(now, row, &returns);
+                    self.rights.owner.on_return(now, row, &returns);
                 }
             }
         }
@@ -253,7 +265,7 @@
         let row = self.snapshot.teams.team(&ask.team);
         match (right, row) {
             (Some(right), Some(row)) if rights.leaving.is_none() => {
-                rights.owner.ask(now, right, row, ask)
+                rights.owner.on_ask(now, right, row, ask)
             }
             _ => {
                 rights.keeper.note_unreachable_owner(now, &seat);
@@ -290,8 +302,8 @@
                 self.rights.keeper.set_owner_hint(seat, from);
             }
         }
-        if self.quota.reply(now, &team, number, reply) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+        if self.quota.on_reply(now, &team, number, reply) {
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.rights_send(now, out);
     }
@@ -336,9 +348,9 @@
         out: &mut Vec<Action>,
     ) {
         if *to == self.identity.peer.instance {
-            self.quota(now, message, out);
+            self.on_quota_message(now, message, out);
         } else {
-            self.tell(to, Message::Quota(message), out);
+            self.send_message(to, Message::Quota(message), out);
         }
     }
 }
--- a/src/request/inbound/signal.rs
+++ b/src/request/inbound/signal.rs
@@ -56,7 +56,7 @@
     ) {
         let is_known = hint.upstream != id::Upstream::default();
         if is_known && hint.upstream == self.upstream.0 {
-            self.pace.throttle.hint(now, hint.limit);
+            self.pace.throttle.apply_hint(now, hint.limit);
             self.note_limit(now, self.limit(), out);
             if hint.leaving {
                 self.depart(now, true, world, out);
@@ -83,7 +83,7 @@
 
     /// Takes a health probe out of what the upstream may get. Returns whether there
     /// is room for it.
-    pub fn probe(&mut self, now: Time) -> bool {
+    pub fn start_probe(&mut self, now: Time) -> bool {
         let is_allowed = self.pace.allows(now);
         if is_allowed {
             self.pace.take(now);
@@ -106,7 +106,7 @@
         if signal.limit == Limit::Unreadable {
             world.counts.add(Counter::LimitUnreadable);
         }
-        self.pace.throttle.hear(now, begun, signal.limit);
+        self.pace.throttle.observe(now, begun, signal.limit);
         let news = match signal.limit {
             Limit::Unreadable => signal.limit,
             _ => self.limit(),
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    Action, Arrival, Origin, Router, World,
+    Action, Arrival, Environment, Origin, Router,
     call::{
         Call,
         Line,
@@ -25,12 +25,12 @@
         Importance, //
     },
     id,
-    inbound::Made,
+    inbound::OutgoingCall,
     metric::Counter,
     policy::{
         Admission,
-        Choice,
-        Policy, //
+        Policy,
+        SheddingKey, //
     },
     tables::Route, //
 };
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         arrival: Arrival,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let number = arrival.call;
@@ -60,7 +60,12 @@
         }
     }
 
-    fn admit(&mut self, now: Time, arrival: Arrival, world: &mut World<'_>) -> Result<(), Code> {
+    fn admit(
+        &mut self,
+        now: Time,
+        arrival: Arrival,
+        world: &mut Environment<'_>,
+    ) -> Result<(), Code> {
         let tables = &world.snapshot.tables;
         if tables.routes.is_empty() {
             return Err(Code::ConfigAbsent);
@@ -91,7 +96,7 @@
             .left
             .map_or(context.left, |left| left.min(context.left));
         if let Some(parent) = context.parent {
-            world.proxy.calls(parent, &route.name);
+            world.proxy.record_call(parent, &route.name);
             self.children
                 .entry(parent)
                 .or_default()
@@ -138,7 +143,7 @@
         call: id::Call,
         key: Option<&str>,
         route: &Route,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Result<Context, Code> {
         world.counts.add(Counter::Calls);
         let key = key.ok_or(Code::KeyMissing)?;
@@ -165,7 +170,7 @@
         now: Time,
         arrival: &Arrival,
         route: &Route,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> (Option<id::Request>, Context) {
         world.counts.add(Counter::Nested);
         let context = Context {
@@ -175,12 +180,12 @@
         if !world.policy.attribution {
             return (None, context);
         }
-        let made = Made {
+        let made = OutgoingCall {
             route: &route.name,
             left: arrival.left,
             connection: arrival.connection,
         };
-        let Some((request, maker)) = world.proxy.caller(now, made, world.levels) else {
+        let Some((request, maker)) = world.proxy.attribute_call(now, made, world.levels) else {
             world.counts.add(Counter::Unattributed);
             return (None, context);
         };
@@ -193,7 +198,7 @@
         (Some(request), context)
     }
 
-    fn context(&self, call: id::Call, route: &Route, world: &World<'_>) -> Context {
+    fn context(&self, call: id::Call, route: &Route, world: &Environment<'_>) -> Context {
         let unique = [self.incarnation.0.to_le_bytes(), call.0.to_le_bytes()].concat();
         Context {
             root: id::Root(xxh3_64(&unique)),
@@ -216,7 +221,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -234,7 +239,11 @@
             let Some(call) = self.calls.get_mut(&number) else {
                 return;
             };
-            match charged(world.quota.take_beside(now, &team, importance, others)) {
+            match charged(
+                world
+                    .quota
+                    .take_with_waiting(now, &team, importance, others),
+            ) {
                 Ok(Some(grant)) => call.grant = Some(grant),
                 Ok(None) if now < until => {
                     let line = self.charging.entry(team).or_default();
@@ -242,7 +251,7 @@
                     return self.wake(number, until);
                 }
                 Ok(None) => {
-                    let code = match world.quota.is_over(now, &call.context.team) {
+                    let code = match world.quota.is_over_rate(now, &call.context.team) {
                         true => Code::RateExceeded,
                         false => Code::RateUnavailable,
                     };
@@ -274,7 +283,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         if let Some(call) = self.calls.get_mut(&number) {
@@ -291,7 +300,7 @@
         &mut self,
         now: Time,
         team: &id::Team,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         while let Some(line) = self.charging.get(team)
@@ -311,7 +320,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get(&number) else {
@@ -326,17 +335,24 @@
         }
     }
 
-    fn first(&mut self, now: Time, number: id::Call, world: &mut World<'_>, out: &mut Vec<Action>) {
+    fn first(
+        &mut self,
+        now: Time,
+        number: id::Call,
+        world: &mut Environment<'_>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(call) = self.calls.get(&number) else {
             return;
         };
-        let level = match world.policy.early && world.policy.admission == Admission::Level {
+        let level = match world.policy.early_shedding && world.policy.admission == Admission::Level
+        {
             true => world.levels.level(now, &call.route, &call.context.team),
             false => 0,
         };
-        let rank = match world.policy.choice {
-            Choice::Root => Rank::of(&call.context, world.policy.nested_first),
-            Choice::Random => Rank::random(world.rng.random()),
+        let rank = match world.policy.shedding_key {
+            SheddingKey::Root => Rank::of(&call.context, world.policy.nested_first),
+            SheddingKey::Random => Rank::random(world.rng.random()),
         };
         if !rank.passes(level) && !world.rng.random_bool(PROBES) {
             return self.fail(now, number, Code::ShedEarly, world, out);
@@ -350,10 +366,16 @@
 /// use up much of the time in which its answer is of full use.
 fn token_wait(route: &Route, policy: Policy) -> Span {
     let most = route.target.map(|target| target.scale(WAITED));
-    most.map_or(policy.token_wait, |most| most.min(policy.token_wait))
+    most.map_or(policy.max_token_wait, |most| {
+        most.min(policy.max_token_wait)
+    })
 }
 
-fn nested(parent: Option<&Context>, route: &Route, world: &mut World<'_>) -> Result<Context, Code> {
+fn nested(
+    parent: Option<&Context>,
+    route: &Route,
+    world: &mut Environment<'_>,
+) -> Result<Context, Code> {
     world.counts.add(Counter::Nested);
     let Some(parent) = parent else {
         world.counts.add(Counter::Unattributed);
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Action,
+    Environment,
     Router,
-    World,
     call::State, //
 };
 use crate::{
@@ -31,7 +31,7 @@
         now: Time,
         number: id::Call,
         code: Code,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -55,7 +55,13 @@
     }
 
     /// When the caller had best come back.
-    fn wait(&self, now: Time, number: id::Call, code: Code, world: &mut World<'_>) -> Option<Span> {
+    fn wait(
+        &self,
+        now: Time,
+        number: id::Call,
+        code: Code,
+        world: &mut Environment<'_>,
+    ) -> Option<Span> {
         let call = self.calls.get(&number)?;
         let usual = self.typical.get(&call.route).copied().unwrap_or(0.0);
         let refusal = comeback::Refusal {
@@ -63,26 +69,26 @@
             waited: now.since(call.root),
             left: now.until(call.deadline),
             target: call.target,
-            usual: Span::from_ms(usual as u64),
-            soonest: match code {
-                Code::RateExceeded => world.quota.wait(now, &call.context.team),
+            service_time: Span::from_ms(usual as u64),
+            earliest: match code {
+                Code::RateExceeded => world.quota.time_until_token(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
-        refusal.wait(world.rng)
+        refusal.retry_after(world.rng)
     }
 
     /// The attempt that made this call must not be tried again for its failure:
     /// this hop has judged it.
-    pub(super) fn last_word(&mut self, now: Time, number: id::Call, world: &mut World<'_>) {
+    pub(super) fn last_word(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
         let Some(call) = self.calls.get_mut(&number) else {
             return;
         };
         if call.context.key.is_none() && call.context.parent.is_none() {
-            world.proxy.call_failed(now);
+            world.proxy.record_call_failure(now);
         }
         if let Some(parent) = call.context.parent
-            && let Some(purse) = world.proxy.purses().get_mut(&parent)
+            && let Some(purse) = world.proxy.allowances().get_mut(&parent)
         {
             purse.no_retry = true;
         }
@@ -93,7 +99,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let code = match self.withdraw(now, number, world.policy, out) {
@@ -108,7 +114,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let sent = self.withdraw(now, number, world.policy, out);
@@ -130,10 +136,10 @@
         &mut self,
         now: Time,
         parent: id::Request,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        if !world.policy.cancel {
+        if !world.policy.cancellation {
             return;
         }
         for number in self.children.remove(&parent).unwrap_or_default() {
@@ -159,7 +165,7 @@
             _ => return false,
         };
         if let Some(attempt) = self.attempts.get(&request)
-            && policy.cancel
+            && policy.cancellation
         {
             out.push(Action::Cancel(attempt.peer.clone(), request));
         }
@@ -175,11 +181,14 @@
         peer: &id::Instance,
         request: id::Request,
         report: &Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Option<id::Call> {
-        self.hints.note(now, peer, report.life, report.hint, false);
+        self.hints
+            .record(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
-        world.quota.heard(now, peer, report.life, report.clock);
+        world
+            .quota
+            .record_peer_clock(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
             world.counts.add(Counter::Late);
@@ -208,20 +217,20 @@
         request: id::Request,
         spent: u8,
         mark: Observation,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) {
         self.repay(request, spent, world);
         self.abandon(now, request, mark);
     }
 
     /// Returns what an attempt has not spent of its loan, once.
-    pub(super) fn repay(&mut self, request: id::Request, spent: u8, world: &mut World<'_>) {
+    pub(super) fn repay(&mut self, request: id::Request, spent: u8, world: &mut Environment<'_>) {
         let Some(attempt) = self.attempts.get_mut(&request) else {
             return;
         };
         let loan = std::mem::take(&mut attempt.loan);
         let call = self.calls.get_mut(&attempt.call);
-        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.purses())) {
+        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.allowances())) {
             purse.release(loan, spent);
         }
     }
@@ -239,13 +248,15 @@
         }
     }
 
-    pub(super) fn forget(&mut self, now: Time, number: id::Call, world: &mut World<'_>) {
+    pub(super) fn forget(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
         self.charged(number);
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
         if let Some(maker) = call.maker {
-            world.proxy.returned(now, maker, call.connection);
+            world
+                .proxy
+                .record_call_answered(now, maker, call.connection);
         }
         self.timers.remove(&(call.wake, number));
         if let Some(parent) = call.context.parent
--- a/tests/rights/window.rs
+++ b/tests/rights/window.rs
@@ -158,10 +158,10 @@
     fn resolve(&mut self, taken: &Taken, run: bool) {
         let team = &self.team.name;
         let holder = &mut self.holders[taken.holder];
-        match (run, holder.left(self.now, team, taken.grant)) {
+        match (run, holder.time_left(self.now, team, taken.grant)) {
             (true, Some(_)) => {
                 self.begun.push(self.now);
-                holder.begun(team, taken.grant);
+                holder.mark_begun(team, taken.grant);
             }
             (false, _) => holder.give_back(self.now, team, taken.grant),
             (true, None) => {}
@@ -186,7 +186,7 @@
             (None, Message::Ask(ask)) => {
                 let (owner, right) = &mut self.owners[number];
                 let reply = match now < right.until {
-                    true => owner.ask(now, *right, &self.team, &ask),
+                    true => owner.on_ask(now, *right, &self.team, &ask),
                     false => Reply::NotOwner(None),
                 };
                 let holder = ask.from.as_str()[1..].parse().expect("a number");
@@ -200,7 +200,7 @@
                 self.bag.push((Some(holder), number, message));
             }
             (None, Message::Return(_, returns)) => {
-                self.owners[number].0.returned(now, &self.team, &returns);
+                self.owners[number].0.on_return(now, &self.team, &returns);
             }
             (
                 Some(holder),
@@ -211,7 +211,7 @@
                     ..
                 },
             ) => {
-                self.holders[holder].reply(now, &team, number, reply);
+                self.holders[holder].on_reply(now, &team, number, reply);
             }
             _ => {}
         }
