--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -8,9 +8,9 @@
 
 use super::{
     Action,
-    Asker,
     Core,
-    LogEvent, //
+    LogEvent,
+    StoreCaller, //
 };
 use crate::{
     clock::{
@@ -47,7 +47,7 @@
     },
     metric::Counter,
     quota::Bank,
-    retry::Terms,
+    retry::Limits,
     store,
     warmup, //
 };
@@ -166,7 +166,7 @@
     /// Finds members and configuration in the store, from the beginning of the
     /// node on, and shares rates without owners.
     pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
-        self.quota.lend(Bank::new(self.identity.peer.clone()));
+        self.quota.use_bank(Bank::new(self.identity.peer.clone()));
         self.proxy.set_cold_tolerance(bounds.cold_excess);
         self.listed = Some(Listed {
             bounds,
@@ -256,7 +256,7 @@
         for (purpose, call) in calls {
             match purpose {
                 Purpose::Register => {
-                    let number = self.ask(Asker::Listed, call, out);
+                    let number = self.call_store(StoreCaller::Listed, call, out);
                     listed.asked.insert(number, Task::Register);
                 }
                 Purpose::Watch => listed.subscriber.request(Topic::Members, call.after()),
@@ -306,17 +306,17 @@
         let bounds = listed.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.token_server_candidates(now));
+            bank.update_nodes(now, until, &listed.directory.token_server_candidates(now));
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
         let slack = bounds.retry_slack / nodes as f64;
-        self.router.limit_retries(Terms {
+        self.router.set_retry_limits(Limits {
             ratio: bounds.retry_ratio * RATIO_SHARE,
-            floor: slack * FLOOR_SHARE / seconds,
-            saved: slack * SAVED_SHARE,
-            ahead: bounds.retry_window.scale(AHEAD_SHARE),
-            reserve: RESERVE,
+            min_rate: slack * FLOOR_SHARE / seconds,
+            burst: slack * SAVED_SHARE,
+            burst_window: bounds.retry_window.scale(AHEAD_SHARE),
+            critical_reserve: RESERVE,
         });
     }
 
@@ -370,7 +370,7 @@
         if snapshot.version != self.snapshot.version {
             out.push(Action::Log(LogEvent::ConfigAdopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
-                bank.teams(now, &snapshot.teams.teams);
+                bank.set_teams(now, &snapshot.teams.teams);
             }
         }
         let age = self.discovered_config_age(now);
@@ -385,7 +385,7 @@
         }
         self.adopt(snapshot);
         // What waits for an upstream that was just evacuated goes elsewhere at once.
-        self.inbound(now, inbound::Event::Tick, out);
+        self.run_proxy(now, inbound::Event::Tick, out);
     }
 
     fn listed_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Action>) {
@@ -406,7 +406,7 @@
                     self.members.remove(&name);
                     out.push(Action::Log(LogEvent::MemberRemoved(name.clone())));
                     // Nobody there will answer what is still under way.
-                    self.ingress(now, ingress::Event::Broken(name.clone()), out);
+                    self.run_router(now, ingress::Event::LinkLost(name.clone()), out);
                     self.router.forget_instance(&name);
                 }
             }
--- a/src/request/inbound/waiting.rs
+++ b/src/request/inbound/waiting.rs
@@ -22,15 +22,15 @@
     },
     code::Code,
     context::{
-        Begin,
-        Context, //
+        Context,
+        StartLimit, //
     },
     id,
     metric::Counter,
     policy::{
         Admission,
-        Choice,
-        Policy, //
+        Policy,
+        SheddingKey, //
     },
     record::Claim,
 };
@@ -76,8 +76,8 @@
         let deadline = now + context.left;
         let root = Time::from_ms(now.as_ms().saturating_sub(context.age.as_ms()));
         let start_before = match context.begin {
-            Some(Begin::Clock(clock)) => Time::from_ms(clock),
-            Some(Begin::Within(left)) => now + left,
+            Some(StartLimit::Clock(clock)) => Time::from_ms(clock),
+            Some(StartLimit::Within(left)) => now + left,
             None => Time::NEVER,
         };
         Self {
@@ -158,9 +158,9 @@
             return Ok(());
         }
         let (context, team) = (&waiting.context, &waiting.context.team);
-        let rank = match world.policy.choice {
-            Choice::Root => Rank::of(context, world.policy.nested_first),
-            Choice::Random => Rank::random(world.rng.random()),
+        let rank = match world.policy.shedding_key {
+            SheddingKey::Root => Rank::of(context, world.policy.nested_first),
+            SheddingKey::Random => Rank::random(world.rng.random()),
         };
         let level = self.level(now, &waiting.route, team, world.levels, world.policy);
         if !rank.passes(level) {
@@ -177,7 +177,7 @@
         }
         let wait = self.wait(now, ahead);
         let service = self.upstream_state.service_time(now, &waiting.route);
-        if world.policy.deadline && now + wait + service > waiting.deadline {
+        if world.policy.deadline_check && now + wait + service > waiting.deadline {
             return Err(Code::DeadlineUnfit);
         }
         Ok(())
@@ -199,7 +199,7 @@
         {
             return Err(Code::KeyWithdrawn);
         }
-        let is_late = world.policy.deadline && now >= waiting.deadline;
+        let is_late = world.policy.deadline_check && now >= waiting.deadline;
         if is_late {
             return Err(Code::DeadlineUnfit);
         }
@@ -356,9 +356,9 @@
 fn queue_order(policy: Policy) -> Order {
     let level = policy.admission == Admission::Level;
     Order {
-        by_importance: level && policy.choice == Choice::Root,
+        by_importance: level && policy.shedding_key == SheddingKey::Root,
         nested_first: level && policy.nested_first,
-        fair: level && policy.fair,
+        fair: level && policy.fair_shares,
         newest_first: level && policy.newest_first,
     }
 }
