--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -415,8 +415,8 @@
                 self.run_proxy(now, inbound::Event::Capacity(slots), out)
             }
             Event::UpstreamWarmup(left) => self.run_proxy(now, inbound::Event::Warmup(left), out),
-            Event::UpstreamSignal(signal, begun) => {
-                self.on_upstream_event(now, inbound::Event::Signal { signal, begun }, out);
+            Event::UpstreamSignal(signal, started) => {
+                self.on_upstream_event(now, inbound::Event::Signal { signal, started }, out);
             }
             Event::UpstreamLeaving(leaving) => {
                 self.run_proxy(now, inbound::Event::Leaving(leaving), out)
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -99,7 +99,7 @@
         let event = Event::Answered {
             attempt,
             status,
-            waited: now.since(pending.begun),
+            waited: now.since(pending.started),
         };
         self.recorder.record(now, name, &event);
     }
@@ -116,7 +116,7 @@
             code,
             wait,
             path: pending.path(),
-            waited: now.since(pending.begun),
+            waited: now.since(pending.started),
             attempts: pending.attempts,
             known: self.known(now),
         };
@@ -126,7 +126,7 @@
     pub(crate) fn record_gone(&self, pending: &Pending, call: id::Call) {
         let now = Clock.now();
         let event = Event::CallerGone {
-            waited: now.since(pending.begun),
+            waited: now.since(pending.started),
         };
         self.recorder.record(now, &self.name(pending, call), &event);
     }
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -148,7 +148,7 @@
         /// The signals.
         signal: Signal,
         /// When the answered request started.
-        begun: Time,
+        started: Time,
     },
     /// The upstream process that is running now.
     Upstream(id::Upstream),
@@ -420,7 +420,7 @@
             Event::Warmup(left) => {
                 self.update_cold_status(out, |cold| cold.report(now, left));
             }
-            Event::Signal { signal, begun } => self.on_signal(now, begun, signal, world, out),
+            Event::Signal { signal, started } => self.on_signal(now, started, signal, world, out),
             Event::Upstream(upstream) => self.on_upstream(now, upstream),
             Event::Hint(hint) => self.on_hint(now, hint, world, out),
             Event::Leaving(leaving) => self.upstream_state.announced_leaving = leaving,
--- a/src/request/pending.rs
+++ b/src/request/pending.rs
@@ -59,7 +59,7 @@
     /// The name of the call in log lines; none before it has an id.
     pub(crate) name: Option<Name>,
     /// When its headers had been read.
-    pub(crate) begun: Time,
+    pub(crate) started: Time,
     /// Number of attempts so far.
     pub(crate) attempts: u8,
 }
@@ -77,7 +77,7 @@
             reply: Some(reply),
             delivered: None,
             name: own.map(|own| Name::new(Some(&own), "")),
-            begun: now,
+            started: now,
             attempts: 0,
             head,
             source,
--- a/tests/policy/signal.rs
+++ b/tests/policy/signal.rs
@@ -23,9 +23,9 @@
         limit,
         leaving: false,
     };
-    let begun = bench.now;
+    let started = bench.now;
     bench.now += Span::from_ms(10);
-    let actions = bench.on(Event::Signal { signal, begun });
+    let actions = bench.on(Event::Signal { signal, started });
     let is_note = |action: &Action| matches!(action, Action::Limit(_));
     actions.into_iter().filter(is_note).collect()
 }
