--- a/src/request/ingress.rs
+++ b/src/request/ingress.rs
@@ -1,8 +1,8 @@
-//! A call from its arrival at a node until its final answer.
+//! Routing of calls, from the arrival at a node to the final response.
 //!
-//! The [`Router`] names the team, charges its rate, picks an instance, sends
-//! attempts and judges how they end. It does no input or output. A call has at
-//! most one attempt at a time.
+//! The [`Router`] authenticates the team, charges its rate limit, selects an
+//! instance, sends attempts and handles their outcomes. It does no I/O. A call has
+//! at most one attempt at a time.
 
 mod arrival;
 mod attempt;
@@ -20,7 +20,7 @@
 use self::call::{
     Attempt,
     Call,
-    Line, //
+    TokenQueue, //
 };
 use crate::{
     admission::seen::Levels,
@@ -60,265 +60,265 @@
     },
 };
 
-/// Who makes a call.
+/// Origin of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A caller outside, with the key it showed.
+    /// An external caller.
     Caller {
-        /// The key as text, `name.secret`.
+        /// The API key it presented, as `name.secret`.
         key: Option<String>,
     },
-    /// The service beside this node, for the attempt that holds this token.
+    /// The local service, on behalf of the attempt that its token identifies.
     Service {
-        /// The attempt as its inbound proxy knows it.
+        /// The attempt's context at the inbound proxy, if it is still running.
         parent: Option<Context>,
     },
 }
 
-/// A call whose head has been read.
+/// A call whose request head has been read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The node's number for it.
+    /// Identifies the call at this node.
     pub call: id::Call,
-    /// Who makes it.
+    /// Origin of the call.
     pub origin: Origin,
-    /// The host it names.
+    /// Requested host.
     pub host: String,
-    /// Its method.
+    /// HTTP method.
     pub method: String,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Its idempotency key and the checksum of the whole request.
+    /// Idempotency key and checksum of the whole request.
     pub claim: Option<Claim>,
-    /// Whether the body is held and can be sent again.
+    /// Whether the body is buffered and can be sent again.
     pub replayable: bool,
-    /// How long its caller waits, where it said so.
+    /// How long the caller waits, if it specified a deadline.
     pub left: Option<Span>,
-    /// The connection that it came over.
+    /// Connection over which the call arrived.
     pub connection: id::Connection,
-    /// The configuration may be out of date, so that neither a key nor the
-    /// absence of a route proves anything.
+    /// Whether the configuration may be out of date. Neither a key nor a missing
+    /// route can be relied on then.
     pub stale: bool,
-    /// This node stops soon: what begins now could not be finished.
+    /// Whether this node is about to stop, so that a new request might not finish.
     pub leaving: bool,
 }
 
-/// What happens to calls.
+/// Input of the [`Router`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A new call.
     Arrival(Box<Arrival>),
-    /// The caller hung up.
+    /// The caller closed its connection.
     CallerGone(id::Call),
-    /// The upstream's answer begins, with this status.
+    /// The upstream's response has started, with this status.
     Answered(id::Instance, id::Request, u16, Report),
-    /// The attempt has ended after its answer.
+    /// The attempt has ended after a complete response.
     Finished(id::Instance, id::Request, Report),
-    /// The attempt ended without an answer.
+    /// The attempt has ended without a response.
     Refused(id::Instance, id::Request, Code, Report),
-    /// The attempt never left this node, and never will.
+    /// The attempt was never sent, and won't be.
     AttemptUnsent(id::Request),
-    /// The link to an instance broke, or could not be made.
+    /// The link to an instance was lost or couldn't be established.
     LinkLost(id::Instance),
-    /// The answer to a revocation.
+    /// The reply to [`Action::Revoke`].
     RevokeResult(id::Instance, id::Request, Fate),
-    /// The attempt at the upstream beside this node that made nested calls is
-    /// over.
+    /// An attempt at the local upstream that made nested calls has ended.
     ParentEnded(id::Request),
-    /// There is news of a team's rate tokens.
+    /// The state of a team's rate tokens has changed.
     TokensChanged(id::Team),
-    /// Time has passed.
+    /// Time has advanced.
     Tick,
 }
 
-/// What is to be done.
+/// Output of the [`Router`], to be carried out by the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
-        /// The call it is for.
+        /// The call that the attempt belongs to.
         call: id::Call,
-        /// The attempt's number.
+        /// Identifies the attempt.
         request: id::Request,
-        /// Where to.
+        /// Destination instance.
         peer: id::Instance,
-        /// The life of that instance that may run it.
+        /// Incarnation of that instance that may run the attempt.
         life: id::Incarnation,
-        /// The route.
+        /// Route of the call.
         route: id::Route,
-        /// What rides along.
+        /// Context propagated with the attempt.
         context: Context,
-        /// The idempotency record that guards it.
+        /// Idempotency claim of the call.
         claim: Option<Claim>,
     },
-    /// Tell a later life of a node what its upstream told.
+    /// Tell a restarted node what its upstream had announced before.
     Hint(id::Instance, Hint),
-    /// Relay this attempt's answer to the caller.
+    /// Relay the response of this attempt to the caller.
     Deliver(id::Call, id::Request),
-    /// Answer the caller with this code, and with when to come back; after a
-    /// [`Action::Deliver`], cut the answer so that it is no short success.
+    /// Refuse the call with this code and `Retry-After`. After an
+    /// [`Action::Deliver`], abort the response so that it can't be mistaken for a
+    /// short complete one.
     Refuse(id::Call, Code, Option<Span>),
-    /// Tell the inbound proxy that nobody waits any longer.
+    /// Tell the inbound proxy that nobody waits for the attempt any more.
     Cancel(id::Instance, id::Request),
-    /// Ask the inbound proxy not to begin.
+    /// Ask the inbound proxy not to start the attempt.
     Revoke {
-        /// Whom to ask.
+        /// Instance that the attempt was sent to.
         peer: id::Instance,
-        /// The attempt's number.
+        /// Identifies the attempt.
         request: id::Request,
-        /// The life that the attempt was sent to.
+        /// Incarnation that the attempt was sent to.
         life: id::Incarnation,
-        /// How long a late copy must still be refused.
+        /// How long a delayed copy of the attempt must be refused.
         left: Span,
     },
 }
 
-/// What the router consults.
+/// State of the node that the [`Router`] uses.
 pub struct Environment<'a> {
-    /// The configuration in force.
+    /// Current configuration.
     pub snapshot: &'a Snapshot,
-    /// The members.
+    /// Member table.
     pub members: &'a Table,
-    /// The rate tokens held here.
+    /// Rate tokens held by this node.
     pub quota: &'a mut Holder,
-    /// Where the records of idempotent requests are.
+    /// Owners of the idempotency records.
     pub records: &'a Directory,
-    /// The inbound proxy of this node, whose attempts make nested calls.
+    /// Inbound proxy of this node, whose attempts make nested calls.
     pub proxy: &'a mut Proxy,
-    /// The levels of other nodes.
+    /// Admission levels of other nodes.
     pub levels: &'a mut Levels,
-    /// Which mechanisms are in force.
+    /// Enabled overload control mechanisms.
     pub policy: Policy,
-    /// Seeded randomness.
+    /// Seeded random number generator.
     pub rng: &'a mut ChaCha8Rng,
-    /// What is counted.
+    /// Metric counters.
     pub counts: &'a mut Counts,
 }
 
-/// All calls that this node has not yet answered.
+/// State machine that handles all calls of this node until they are answered.
 #[derive(Clone, Debug)]
 pub struct Router {
     incarnation: id::Incarnation,
-    home: id::Pool,
-    next: u64,
+    own_pool: id::Pool,
+    last_sequence: u64,
     calls: BTreeMap<id::Call, Call>,
     attempts: BTreeMap<id::Request, Attempt>,
-    children: BTreeMap<id::Request, BTreeSet<id::Call>>,
-    /// Calls that wait for a rate token, by team.
-    charging: BTreeMap<id::Team, Line>,
+    nested_calls: BTreeMap<id::Request, BTreeSet<id::Call>>,
+    /// Calls waiting for a rate token, by team.
+    token_queues: BTreeMap<id::Team, TokenQueue>,
     timers: BTreeSet<(Time, id::Call)>,
     balancer: Balancer,
-    /// What upstreams told through their nodes.
+    /// Announcements of upstreams, to be passed to their restarted nodes.
     hints: Hints,
-    budget: Budget,
-    typical: BTreeMap<id::Route, f64>,
-    looked: Time,
+    retry_budget: Budget,
+    typical_latency: BTreeMap<id::Route, f64>,
+    last_silence_check: Time,
 }
 
 impl Router {
-    /// A router without calls, in this life of the node.
+    /// Creates a router without calls for the node described by `own`.
     pub fn new(own: &Peer) -> Self {
         Self {
             incarnation: own.incarnation,
-            home: own.pool.clone(),
-            next: 0,
+            own_pool: own.pool.clone(),
+            last_sequence: 0,
             calls: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            children: BTreeMap::new(),
-            charging: BTreeMap::new(),
+            nested_calls: BTreeMap::new(),
+            token_queues: BTreeMap::new(),
             timers: BTreeSet::new(),
             balancer: Balancer::new(own),
             hints: Hints::default(),
-            budget: Budget::default(),
-            typical: BTreeMap::new(),
-            looked: Time::ZERO,
+            retry_budget: Budget::default(),
+            typical_latency: BTreeMap::new(),
+            last_silence_check: Time::ZERO,
         }
     }
 
-    /// Goes by other terms for retries from now on.
-    pub fn set_retry_limits(&mut self, terms: Limits) {
-        self.budget.limit(terms);
+    /// Replaces the limits of the retry budgets.
+    pub fn set_retry_limits(&mut self, limits: Limits) {
+        self.retry_budget.set_limits(limits);
     }
 
-    /// Forgets what is known of an instance that is gone.
+    /// Drops the statistics of an instance that has gone.
     pub fn forget_instance(&mut self, instance: &id::Instance) {
         self.balancer.forget(instance);
     }
 
-    /// How many calls of each team wait for a rate token.
+    /// Returns the number of calls of each team that wait for a rate token.
     pub fn waiting_for_tokens(&self) -> BTreeMap<id::Team, Waiting> {
-        let teams = self.charging.iter();
+        let teams = self.token_queues.iter();
         teams
-            .map(|(team, line)| (team.clone(), line.waiting()))
+            .map(|(team, queue)| (team.clone(), queue.waiting()))
             .collect()
     }
 
-    /// Calls that have not been answered whole.
+    /// Returns the number of calls without a complete response.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether every call has been answered.
+    /// Returns whether every call has been answered.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// When the next tick has something to do.
+    /// Returns when the next timer expires.
     pub fn due(&self) -> Time {
         self.timers.first().map_or(Time::NEVER, |(at, _)| *at)
     }
 
-    /// Takes one event and adds what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn on(
         &mut self,
         now: Time,
         event: Event,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         match event {
-            Event::Arrival(arrival) => self.arrival(now, *arrival, world, out),
-            Event::CallerGone(call) => self.gone(now, call, world, out),
+            Event::Arrival(arrival) => self.arrival(now, *arrival, env, out),
+            Event::CallerGone(call) => self.caller_gone(now, call, env, out),
             Event::Answered(peer, request, status, report) => {
-                self.answered(now, &peer, request, status, report, world, out);
+                self.answered(now, &peer, request, status, report, env, out);
             }
             Event::Finished(peer, request, report) => {
-                self.finished(now, &peer, request, report, world, out);
+                self.finished(now, &peer, request, report, env, out);
             }
             Event::Refused(peer, request, code, report) => {
-                self.refused(now, &peer, request, code, report, world, out);
+                self.refused(now, &peer, request, code, report, env, out);
             }
-            Event::AttemptUnsent(request) => self.unsent(now, request, world, out),
-            Event::LinkLost(peer) => self.broken(now, &peer, world, out),
+            Event::AttemptUnsent(request) => self.attempt_unsent(now, request, env, out),
+            Event::LinkLost(peer) => self.link_lost(now, &peer, env, out),
             Event::RevokeResult(peer, request, fate) => {
-                self.fate(now, &peer, request, fate, world, out);
+                self.revoke_result(now, &peer, request, fate, env, out);
             }
-            Event::ParentEnded(request) => self.orphan(now, request, world, out),
-            Event::TokensChanged(team) => self.charge_team(now, &team, world, out),
-            Event::Tick => self.tick(now, world, out),
+            Event::ParentEnded(request) => self.parent_ended(now, request, env, out),
+            Event::TokensChanged(team) => self.charge_team(now, &team, env, out),
+            Event::Tick => self.tick(now, env, out),
         }
     }
 
-    /// Sets the one timer of a call.
-    fn wake(&mut self, number: id::Call, at: Time) {
-        if let Some(call) = self.calls.get_mut(&number) {
-            self.timers.remove(&(call.wake, number));
-            call.wake = at;
-            self.timers.insert((at, number));
+    /// Sets the timer of a call. Each call has only one.
+    fn set_timer(&mut self, call_id: id::Call, at: Time) {
+        if let Some(call) = self.calls.get_mut(&call_id) {
+            self.timers.remove(&(call.timer, call_id));
+            call.timer = at;
+            self.timers.insert((at, call_id));
         }
     }
 
-    fn tick(&mut self, now: Time, world: &mut Environment<'_>, out: &mut Vec<Action>) {
-        if now.since(self.looked) >= silence::LOOK {
-            self.looked = now;
-            self.listen(now, world, out);
+    fn tick(&mut self, now: Time, env: &mut Environment<'_>, out: &mut Vec<Action>) {
+        if now.since(self.last_silence_check) >= silence::SILENCE_CHECK_INTERVAL {
+            self.last_silence_check = now;
+            self.check_silent_peers(now, env, out);
         }
-        while let Some((at, number)) = self.timers.first().copied() {
+        while let Some((at, call_id)) = self.timers.first().copied() {
             if at > now {
                 return;
             }
             self.timers.pop_first();
-            self.alarm(now, number, world, out);
+            self.on_timer(now, call_id, env, out);
         }
     }
 }
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -1,4 +1,5 @@
-//! A call before its first attempt: route, key, rate, early shedding.
+//! Processing of a call before its first attempt: routing, authentication, rate
+//! limiting and early shedding.
 
 use rand::RngExt;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,9 +8,9 @@
     Action, Arrival, Environment, Origin, Router,
     call::{
         Call,
-        Line,
         State,
-        charged, //
+        TokenQueue,
+        charge_result, //
     },
 };
 use crate::{
@@ -35,27 +36,27 @@
     tables::Route, //
 };
 
-/// The share of requests below the level that are sent all the same, so that
-/// the level is confirmed or falls.
-const PROBES: f64 = 1.0 / 64.0;
+/// Fraction of the requests below the admission level that are sent anyway, so that
+/// a response either confirms the level or lowers it.
+const PROBE_FRACTION: f64 = 1.0 / 64.0;
 
-/// The part of a route's target that a call may wait for a rate token.
-const WAITED: f64 = 1.0 / 8.0;
+/// Maximum wait for a rate token as a fraction of the route's target.
+const MAX_TOKEN_WAIT_FRACTION: f64 = 1.0 / 8.0;
 
 impl Router {
     pub(super) fn arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let number = arrival.call;
-        match self.admit(now, arrival, world) {
-            Ok(()) => self.charge(now, number, world, out),
+        let call_id = arrival.call;
+        match self.admit(now, arrival, env) {
+            Ok(()) => self.charge(now, call_id, env, out),
             Err(code) => {
-                world.counts.add(Counter::Refused(code));
-                out.push(Action::Refuse(number, code, code.retry_after()));
+                env.counts.add(Counter::Refused(code));
+                out.push(Action::Refuse(call_id, code, code.retry_after()));
             }
         }
     }
@@ -64,9 +65,9 @@
         &mut self,
         now: Time,
         arrival: Arrival,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> Result<(), Code> {
-        let tables = &world.snapshot.tables;
+        let tables = &env.snapshot.tables;
         if tables.routes.is_empty() {
             return Err(Code::ConfigAbsent);
         }
@@ -76,61 +77,63 @@
             (None, true) => return Err(Code::ConfigStale),
             (None, false) => return Err(Code::RouteUnknown),
         };
-        // Calls of the service beside this node belong to requests that began
-        // earlier, and those are to be finished.
+        // Calls of the local service belong to requests that started earlier and
+        // should be finished.
         if arrival.leaving && !route.keyless {
             return Err(Code::Leaving);
         }
-        let mut maker = None;
+        let mut attributed_to = None;
         let mut context = match &arrival.origin {
             Origin::Caller { .. } if route.keyless => {
-                let (made_by, context) = self.keyless(now, &arrival, route, world);
-                maker = made_by;
+                let (attempt, context) = self.keyless_context(now, &arrival, route, env);
+                attributed_to = attempt;
                 context
             }
             Origin::Caller { .. } if arrival.stale => return Err(Code::ConfigStale),
-            Origin::Caller { key } => self.root(arrival.call, key.as_deref(), route, world)?,
-            Origin::Service { parent } => nested(parent.as_ref(), route, world)?,
+            Origin::Caller { key } => {
+                self.root_context(arrival.call, key.as_deref(), route, env)?
+            }
+            Origin::Service { parent } => nested_context(parent.as_ref(), route, env)?,
         };
         context.left = arrival
             .left
             .map_or(context.left, |left| left.min(context.left));
         if let Some(parent) = context.parent {
-            world.proxy.calls(parent, &route.name);
-            self.children
+            env.proxy.calls(parent, &route.name);
+            self.nested_calls
                 .entry(parent)
                 .or_default()
                 .insert(arrival.call);
         }
-        let patience = token_wait(route, world.policy);
-        let root = Time::from_ms(now.as_ms().saturating_sub(context.age.as_ms()));
+        let max_token_wait = token_wait_limit(route, env.policy);
+        let root_arrived = Time::from_ms(now.as_ms().saturating_sub(context.age.as_ms()));
         let deadline = now + context.left;
         let call = Call {
             route: route.name.clone(),
             pool: match route.split.is_empty() {
                 true => route.pool.clone(),
-                false => route.pick(world.rng.random()).clone(),
+                false => route.pick(env.rng.random()).clone(),
             },
-            repeatable: route.repeatable(&arrival.method),
+            idempotent: route.repeatable(&arrival.method),
             replayable: arrival.replayable,
             claim: arrival.claim,
-            root,
+            root_arrived,
             deadline,
-            state: State::Charging(deadline.min(now + patience)),
+            state: State::AwaitingToken(deadline.min(now + max_token_wait)),
             target: route.target,
-            patience,
-            wake: deadline,
+            max_token_wait,
+            timer: deadline,
             tried: Vec::new(),
             retries: 0,
-            rerouted: false,
+            left_leaving_instance: false,
             reroutes: 0,
-            purse: Allowance::new(context.allowance),
+            allowance: Allowance::new(context.allowance),
             grant: None,
-            tainted: None,
-            maker,
+            may_have_run: None,
+            attributed_to,
             connection: arrival.connection,
-            rejected: Vec::new(),
-            confined: false,
+            rejected_by: Vec::new(),
+            only_rejecting_instances: false,
             context,
         };
         self.timers.insert((deadline, arrival.call));
@@ -138,16 +141,16 @@
         Ok(())
     }
 
-    fn root(
+    fn root_context(
         &self,
         call: id::Call,
         key: Option<&str>,
         route: &Route,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> Result<Context, Code> {
-        world.counts.add(Counter::Calls);
+        env.counts.add(Counter::Calls);
         let key = key.ok_or(Code::KeyMissing)?;
-        let key = world
+        let key = env
             .snapshot
             .teams
             .authenticate(key)
@@ -156,28 +159,29 @@
             team: key.team.clone(),
             key: Some(key.name.clone()),
             importance: route.importance,
-            ..self.context(call, route, world)
+            ..self.new_context(call, route, env)
         })
     }
 
-    /// The context of a call on a route for calls between the services. Nothing
-    /// tells which request caused it, only that work has begun for one: turning
-    /// it away would waste that work. It has the importance and the place of the
-    /// request that most likely made it, so that the calls of one request are
-    /// served or shed together; without one it stands before all others.
-    fn keyless(
+    /// Creates the context of a call on a keyless route, which is for calls between
+    /// services. Such a call doesn't name the request that caused it, but work has
+    /// started for one, and refusing the call would waste that work. It inherits
+    /// root, importance and age of the request that most likely made it, so that
+    /// the calls of one request are served or shed together. Without such a request
+    /// it takes precedence over all other calls.
+    fn keyless_context(
         &self,
         now: Time,
         arrival: &Arrival,
         route: &Route,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> (Option<id::Request>, Context) {
-        world.counts.add(Counter::Nested);
+        env.counts.add(Counter::Nested);
         let context = Context {
             depth: 1,
-            ..self.context(arrival.call, route, world)
+            ..self.new_context(arrival.call, route, env)
         };
-        if !world.policy.attribution {
+        if !env.policy.attribution {
             return (None, context);
         }
         let made = Made {
@@ -185,20 +189,20 @@
             left: arrival.left,
             connection: arrival.connection,
         };
-        let Some((request, maker)) = world.proxy.caller(now, made, world.levels) else {
-            world.counts.add(Counter::Unattributed);
+        let Some((request, attributed)) = env.proxy.caller(now, made, env.levels) else {
+            env.counts.add(Counter::Unattributed);
             return (None, context);
         };
         let context = Context {
-            root: maker.root,
-            importance: maker.importance,
-            age: maker.age,
+            root: attributed.root,
+            importance: attributed.importance,
+            age: attributed.age,
             ..context
         };
         (Some(request), context)
     }
 
-    fn context(&self, call: id::Call, route: &Route, world: &Environment<'_>) -> Context {
+    fn new_context(&self, call: id::Call, route: &Route, env: &Environment<'_>) -> Context {
         let unique = [self.incarnation.0.to_le_bytes(), call.0.to_le_bytes()].concat();
         Context {
             root: id::Root(xxh3_64(&unique)),
@@ -211,170 +215,173 @@
             depth: 0,
             begin: None,
             parent: None,
-            origin: Some(self.home.clone()),
-            version: world.snapshot.version,
+            origin: Some(self.own_pool.clone()),
+            version: env.snapshot.version,
         }
     }
 
-    /// Takes a rate token for a root, once, and sends the call.
+    /// Takes a rate token if the call is a root and needs one, then sends the call.
+    /// Queues the call if no token is available yet.
     fn charge(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
-        let State::Charging(until) = call.state else {
+        let State::AwaitingToken(until) = call.state else {
             return;
         };
         if call.context.key.is_some() && call.context.parent.is_none() {
             let team = call.context.team.clone();
             let importance = call.context.importance;
-            let line = self.charging.get(&team);
-            let others = line.map(|line| line.beside(importance, number));
+            let queue = self.token_queues.get(&team);
+            let others = queue.map(|queue| queue.waiting_besides(importance, call_id));
             let others = others.unwrap_or_default();
-            let Some(call) = self.calls.get_mut(&number) else {
+            let Some(call) = self.calls.get_mut(&call_id) else {
                 return;
             };
-            match charged(world.quota.take_beside(now, &team, importance, others)) {
+            match charge_result(env.quota.take_beside(now, &team, importance, others)) {
                 Ok(Some(grant)) => call.grant = Some(grant),
                 Ok(None) if now < until => {
-                    let line = self.charging.entry(team).or_default();
-                    line.insert(importance, number);
-                    return self.wake(number, until);
+                    let queue = self.token_queues.entry(team).or_default();
+                    queue.insert(importance, call_id);
+                    return self.set_timer(call_id, until);
                 }
                 Ok(None) => {
-                    let code = match world.quota.is_over(now, &call.context.team) {
+                    let code = match env.quota.is_over(now, &call.context.team) {
                         true => Code::RateExceeded,
                         false => Code::RateUnavailable,
                     };
-                    return self.fail(now, number, code, world, out);
+                    return self.fail(now, call_id, code, env, out);
                 }
-                Err(code) => return self.fail(now, number, code, world, out),
+                Err(code) => return self.fail(now, call_id, code, env, out),
             }
         }
-        self.charged(number);
-        self.first(now, number, world, out);
+        self.leave_token_queue(call_id);
+        self.send_first(now, call_id, env, out);
     }
 
-    /// The call waits for no token any more.
-    pub(super) fn charged(&mut self, number: id::Call) {
-        let Some(call) = self.calls.get(&number) else {
+    /// Removes the call from the token queue of its team.
+    pub(super) fn leave_token_queue(&mut self, call_id: id::Call) {
+        let Some(call) = self.calls.get(&call_id) else {
             return;
         };
         let team = &call.context.team;
-        if let Some(line) = self.charging.get_mut(team) {
-            line.remove(call.context.importance, number);
-            if line.len() == 0 {
-                self.charging.remove(team);
+        if let Some(queue) = self.token_queues.get_mut(team) {
+            queue.remove(call.context.importance, call_id);
+            if queue.len() == 0 {
+                self.token_queues.remove(team);
             }
         }
     }
 
-    /// Takes another token for a root whose token ended before it began.
+    /// Takes another token for a root whose token expired before the root started.
     pub(super) fn recharge(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        if let Some(call) = self.calls.get_mut(&number) {
+        if let Some(call) = self.calls.get_mut(&call_id) {
             call.grant = None;
-            call.state = State::Charging(call.deadline.min(now + call.patience));
+            call.state = State::AwaitingToken(call.deadline.min(now + call.max_token_wait));
         }
-        self.charge(now, number, world, out);
+        self.charge(now, call_id, env, out);
     }
 
-    /// Tries again for the calls of a team that wait for a token, in their order,
-    /// until there is none left. A crowd of one team has hundreds waiting,
-    /// and trying them all for each few tokens would take the node's whole time.
+    /// Retries the charge for a team's queued calls, in order, until no tokens are
+    /// left. Stops at the first call that stays queued: a team can have hundreds of
+    /// queued calls, and trying all of them for every few tokens would use up the
+    /// node's CPU time.
     pub(super) fn charge_team(
         &mut self,
         now: Time,
         team: &id::Team,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        while let Some(line) = self.charging.get(team)
-            && let Some(number) = line.first()
+        while let Some(queue) = self.token_queues.get(team)
+            && let Some(call_id) = queue.first()
         {
-            let before = line.len();
-            self.charge(now, number, world, out);
-            let after = self.charging.get(team).map_or(0, Line::len);
+            let before = queue.len();
+            self.charge(now, call_id, env, out);
+            let after = self.token_queues.get(team).map_or(0, TokenQueue::len);
             if after >= before {
                 return;
             }
         }
     }
 
-    /// Looks at a call whose timer has run out.
-    pub(super) fn alarm(
+    /// Handles the expired timer of a call.
+    pub(super) fn on_timer(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get(&number) else {
+        let Some(call) = self.calls.get(&call_id) else {
             return;
         };
         match call.state {
-            _ if call.deadline <= now => self.late(now, number, world, out),
-            State::Charging(_) => self.charge(now, number, world, out),
-            State::Backoff(_) => self.send(now, number, world, out),
-            State::Revoking { .. } => self.revoke_again(now, number, world, out),
-            State::Sent(_) | State::Delivering(_) => self.wake(number, call.deadline),
+            _ if call.deadline <= now => self.deadline_passed(now, call_id, env, out),
+            State::AwaitingToken(_) => self.charge(now, call_id, env, out),
+            State::Backoff(_) => self.send(now, call_id, env, out),
+            State::Revoking { .. } => self.query_again(now, call_id, env, out),
+            State::Sent(_) | State::Delivering(_) => self.set_timer(call_id, call.deadline),
         }
     }
 
-    fn first(
+    fn send_first(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get(&number) else {
+        let Some(call) = self.calls.get(&call_id) else {
             return;
         };
-        let level = match world.policy.early_shedding && world.policy.admission == Admission::Level
-        {
-            true => world.levels.level(now, &call.route, &call.context.team),
+        let level = match env.policy.early_shedding && env.policy.admission == Admission::Level {
+            true => env.levels.level(now, &call.route, &call.context.team),
             false => 0,
         };
-        let rank = match world.policy.shedding_key {
-            SheddingKey::Root => Rank::of(&call.context, world.policy.nested_first),
-            SheddingKey::Random => Rank::random(world.rng.random()),
+        let rank = match env.policy.shedding_key {
+            SheddingKey::Root => Rank::of(&call.context, env.policy.nested_first),
+            SheddingKey::Random => Rank::random(env.rng.random()),
         };
-        if !rank.passes(level) && !world.rng.random_bool(PROBES) {
-            return self.fail(now, number, Code::ShedEarly, world, out);
+        if !rank.passes(level) && !env.rng.random_bool(PROBE_FRACTION) {
+            return self.fail(now, call_id, Code::ShedEarly, env, out);
         }
-        self.budget.first(now, &call.pool);
-        self.send(now, number, world, out);
+        self.retry_budget.record_first_attempt(now, &call.pool);
+        self.send(now, call_id, env, out);
     }
 }
 
-/// How long a call waits for a rate token: not so long that waiting alone would
-/// use up much of the time in which its answer is of full use.
-fn token_wait(route: &Route, policy: Policy) -> Span {
-    let most = route.target.map(|target| target.scale(WAITED));
-    most.map_or(policy.max_token_wait, |most| {
-        most.min(policy.max_token_wait)
+/// Returns how long a call waits for a rate token. Bounded so that the wait alone
+/// doesn't use up much of the route's target latency.
+fn token_wait_limit(route: &Route, policy: Policy) -> Span {
+    let limit = route
+        .target
+        .map(|target| target.scale(MAX_TOKEN_WAIT_FRACTION));
+    limit.map_or(policy.max_token_wait, |limit| {
+        limit.min(policy.max_token_wait)
     })
 }
 
-fn nested(
+fn nested_context(
     parent: Option<&Context>,
     route: &Route,
-    world: &mut Environment<'_>,
+    env: &mut Environment<'_>,
 ) -> Result<Context, Code> {
-    world.counts.add(Counter::Nested);
+    env.counts.add(Counter::Nested);
     let Some(parent) = parent else {
-        world.counts.add(Counter::Unattributed);
+        env.counts.add(Counter::Unattributed);
         return Err(Code::TokenDead);
     };
     Ok(Context {
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending them, and judging how they end.
+//! Sending attempts and handling their outcomes.
 
 use super::{
     Action, Environment, Router,
@@ -33,12 +33,12 @@
     },
 };
 
-/// How long an inbound proxy is asked what became of an attempt, when its link
-/// cannot be made.
+/// How long to query an inbound proxy about the outcome of an attempt while its
+/// link can't be established.
 const ATTEMPT_QUERY_TIMEOUT: Span = Span::from_secs(2);
-/// The time between two questions.
+/// Interval between two queries.
 const ATTEMPT_QUERY_INTERVAL: Span = Span::from_ms(100);
-/// The weight of the newest answer in a route's usual time.
+/// Weight of the latest response in a route's typical latency.
 const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 
 impl Router {
@@ -46,71 +46,74 @@
     pub(super) fn send(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         if now >= call.deadline {
-            return self.fail(now, number, Code::DeadlineUnfit, world, out);
+            return self.fail(now, call_id, Code::DeadlineUnfit, env, out);
         }
-        // Once an attempt may have begun, the token is spent and binds no more.
-        let paid = call.grant.filter(|_| call.tainted.is_none());
-        let left = paid.map(|grant| world.quota.left(now, &call.context.team, grant));
+        // Once an attempt may have started, the token is spent and its expiry no
+        // longer matters.
+        let unspent_grant = call.grant.filter(|_| call.may_have_run.is_none());
+        let left = unspent_grant.map(|grant| env.quota.left(now, &call.context.team, grant));
         if left == Some(None) {
-            return self.recharge(now, number, world, out);
+            return self.recharge(now, call_id, env, out);
         }
-        let (picked, absent) = match &call.claim {
+        let (picked, no_instance_code) = match &call.claim {
             Some(claim) => {
-                // A claimed request goes to its record owner and nowhere else.
+                // A request with an idempotency key is sent only to its record owner.
                 let name = Name {
                     team: call.context.team.clone(),
                     key: claim.key.clone(),
                 };
-                let owner = world.records.find(&call.pool, &name, &call.tried);
-                let peer = owner.and_then(|owner| world.members.get(owner));
+                let owner = env.records.find(&call.pool, &name, &call.tried);
+                let peer = owner.and_then(|owner| env.members.get(owner));
                 let picked = peer.map(|peer| (peer.instance.clone(), peer.incarnation));
                 (picked, Code::RecordUnavailable)
             }
-            None if call.confined => {
+            None if call.only_rejecting_instances => {
                 let picked = self.balancer.pick_from(
                     now,
-                    world.members,
-                    &call.rejected,
-                    world.policy,
-                    world.rng,
+                    env.members,
+                    &call.rejected_by,
+                    env.policy,
+                    env.rng,
                 );
                 (picked, Code::UpstreamRejected)
             }
             None => {
                 let picked = self.balancer.pick(
                     now,
-                    world.members,
+                    env.members,
                     &call.pool,
                     &call.tried,
-                    world.policy,
-                    world.rng,
+                    env.policy,
+                    env.rng,
                 );
-                let absent = match world.members.is_evacuated(&call.pool) {
+                let no_instance_code = match env.members.is_evacuated(&call.pool) {
                     true => Code::Evacuated,
                     false => Code::UpstreamAbsent,
                 };
-                (picked, absent)
+                (picked, no_instance_code)
             }
         };
         let Some((peer, life)) = picked else {
-            return self.fail(now, number, absent, world, out);
+            return self.fail(now, call_id, no_instance_code, env, out);
         };
-        let loan = match world.policy.retry_limit {
+        let reserved_retries = match env.policy.retry_limit {
             RetryLimit::PerHop(_) => 0,
-            RetryLimit::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
+            RetryLimit::Allowance => call
+                .allowance(env.proxy.purses())
+                .map_or(0, |p| p.reserve()),
         };
-        self.next += 1;
+        self.last_sequence += 1;
         let request = id::Request {
             incarnation: self.incarnation,
-            sequence: id::Sequence(self.next),
+            sequence: id::Sequence(self.last_sequence),
         };
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
@@ -119,38 +122,38 @@
             out.push(Action::Hint(peer.clone(), hint));
         }
         out.push(Action::Send {
-            call: number,
+            call: call_id,
             request,
             peer: peer.clone(),
             life,
             route: call.route.clone(),
             context: Context {
                 left: now.until(call.deadline),
-                age: now.since(call.root),
-                allowance: loan,
+                age: now.since(call.root_arrived),
+                allowance: reserved_retries,
                 begin: left
                     .flatten()
-                    .map(|left| world.quota.begin(now, &peer, life, left)),
+                    .map(|left| env.quota.begin(now, &peer, life, left)),
                 ..call.context.clone()
             },
             claim: call.claim.clone(),
         });
         let attempt = Attempt {
-            call: number,
+            call: call_id,
             peer,
             life,
-            loan,
-            sent: now,
-            mark: Observation::Healthy,
-            judged: false,
+            reserved_retries,
+            sent_at: now,
+            observation: Observation::Healthy,
+            silence_handled: false,
         };
         self.attempts.insert(request, attempt);
         let deadline = call.deadline;
-        self.wake(number, deadline);
+        self.set_timer(call_id, deadline);
     }
 
-    /// The upstream's answer begins. A failure may be tried again instead of
-    /// being relayed.
+    /// Handles the start of the upstream's response. A failure may be retried instead
+    /// of relayed.
     #[expect(clippy::too_many_arguments, reason = "one frame's parts")]
     pub(super) fn answered(
         &mut self,
@@ -159,82 +162,85 @@
         request: id::Request,
         status: u16,
         report: Report,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         self.hints.note(now, peer, report.life, report.hint, true);
-        let Some(number) = self.heard(now, peer, request, &report, world) else {
+        let Some(call_id) = self.process_report(now, peer, request, &report, env) else {
             return;
         };
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         if call.state != State::Sent(request) {
-            // The link broke and the answer's body is lost with it, or the
-            // answer was relayed already.
-            world.counts.add(Counter::Late);
+            // The link was lost together with the response body, or the response
+            // was relayed already.
+            env.counts.add(Counter::Late);
             return;
         }
         if let Some(grant) = call.grant.take() {
-            world.quota.begun(&call.context.team, grant);
+            env.quota.begun(&call.context.team, grant);
         }
-        self.repay(request, report.spent, world);
-        if retry::failed(status) {
-            let mark = if report.no_retry {
+        self.release_unspent(request, report.spent, env);
+        if retry::is_failure(status) {
+            let observation = if report.no_retry {
                 Observation::Neutral
             } else {
                 Observation::Unhealthy
             };
-            let reason = self.reason(now, number, Failure::Failed, report.no_retry, world);
+            let reason = self.retry_reason(now, call_id, Failure::Failed, report.no_retry, env);
             if let Some(reason) = reason {
-                self.settle(now, request, report.spent, mark, world);
+                self.end_attempt(now, request, report.spent, observation, env);
                 out.push(Action::Cancel(peer.clone(), request));
-                return self.retry(now, number, Failure::Failed, reason, world, out);
+                return self.retry(now, call_id, Failure::Failed, reason, env, out);
             }
-            self.last_word(now, number, world);
+            self.forbid_parent_retry(now, call_id, env);
             if let Some(attempt) = self.attempts.get_mut(&request) {
-                attempt.mark = mark;
+                attempt.observation = observation;
             }
         }
-        if let Some(call) = self.calls.get_mut(&number) {
+        if let Some(call) = self.calls.get_mut(&call_id) {
             call.state = State::Delivering(request);
-            call.taint(Code::UpstreamCut);
-            out.push(Action::Deliver(number, request));
+            call.mark_may_have_run(Code::UpstreamCut);
+            out.push(Action::Deliver(call_id, request));
         }
     }
 
-    /// The answer is whole.
+    /// Handles the end of a complete response.
     pub(super) fn finished(
         &mut self,
         now: Time,
         peer: &id::Instance,
         request: id::Request,
         report: Report,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(number) = self.heard(now, peer, request, &report, world) else {
+        let Some(call_id) = self.process_report(now, peer, request, &report, env) else {
             return;
         };
-        let Some(call) = self.calls.get(&number) else {
+        let Some(call) = self.calls.get(&call_id) else {
             return;
         };
         if call.state != State::Delivering(request) {
-            // It ran to its end, but its answer was lost with the link.
+            // The request was completed, but its response was lost with the link.
             let failure = Failure::Unknown(Code::LinkLost);
-            self.settle(now, request, report.spent, Observation::Healthy, world);
-            return self.failed(now, number, failure, report.no_retry, world, out);
+            self.end_attempt(now, request, report.spent, Observation::Healthy, env);
+            return self.attempt_failed(now, call_id, failure, report.no_retry, env, out);
         }
-        let took = now.since(self.attempts[&request].sent).as_ms() as f64;
-        let typical = self.typical.entry(call.route.clone()).or_insert(took);
-        *typical += (took - *typical) * LATENCY_EWMA_WEIGHT;
-        world.counts.add(Counter::Whole);
-        let mark = self.attempts[&request].mark;
-        self.settle(now, request, report.spent, mark, world);
-        self.forget(now, number, world);
+        let latency = now.since(self.attempts[&request].sent_at).as_ms() as f64;
+        let typical_latency = self
+            .typical_latency
+            .entry(call.route.clone())
+            .or_insert(latency);
+        *typical_latency += (latency - *typical_latency) * LATENCY_EWMA_WEIGHT;
+        env.counts.add(Counter::Whole);
+        let observation = self.attempts[&request].observation;
+        self.end_attempt(now, request, report.spent, observation, env);
+        self.remove_call(now, call_id, env);
     }
 
-    /// The attempt ended without an answer.
+    /// Handles an attempt that ended without a response.
     #[expect(clippy::too_many_arguments, reason = "one frame's parts")]
     pub(super) fn refused(
         &mut self,
@@ -243,13 +249,13 @@
         request: id::Request,
         code: Code,
         report: Report,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(number) = self.heard(now, peer, request, &report, world) else {
+        let Some(call_id) = self.process_report(now, peer, request, &report, env) else {
             return;
         };
-        let mark = match code {
+        let observation = match code {
             Code::UpstreamRefused
             | Code::UpstreamRejected
             | Code::UpstreamCut
@@ -257,42 +263,42 @@
             Code::DeadlinePassed => Observation::Neutral,
             _ => Observation::Healthy,
         };
-        self.settle(now, request, report.spent, mark, world);
+        self.end_attempt(now, request, report.spent, observation, env);
         if code == Code::UpstreamRejected
-            && let Some(call) = self.calls.get_mut(&number)
+            && let Some(call) = self.calls.get_mut(&call_id)
         {
-            call.rejected.push(peer.clone());
+            call.rejected_by.push(peer.clone());
         }
         let failure = match code.verdict() {
             Verdict::NotRun => Failure::NotRun(code),
             Verdict::Unknown => Failure::Unknown(code),
         };
-        self.failed(now, number, failure, report.no_retry, world, out);
+        self.attempt_failed(now, call_id, failure, report.no_retry, env, out);
     }
 
-    /// The attempt has not left this node.
-    pub(super) fn unsent(
+    /// Handles an attempt that was not sent.
+    pub(super) fn attempt_unsent(
         &mut self,
         now: Time,
         request: id::Request,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(number) = self.attempts.get(&request).map(|attempt| attempt.call) else {
+        let Some(call_id) = self.attempts.get(&request).map(|attempt| attempt.call) else {
             return;
         };
-        self.settle(now, request, 0, Observation::Unhealthy, world);
+        self.end_attempt(now, request, 0, Observation::Unhealthy, env);
         let failure = Failure::NotRun(Code::LinkAbsent);
-        self.failed(now, number, failure, false, world, out);
+        self.attempt_failed(now, call_id, failure, false, env, out);
     }
 
-    /// Attempts over a broken link may have run. An idempotent call is tried
-    /// elsewhere at once if it may be; any other asks what became of it.
-    pub(super) fn broken(
+    /// Handles a lost link. Its attempts may have run: a call that may be retried is
+    /// sent elsewhere at once, for any other the inbound proxy is queried.
+    pub(super) fn link_lost(
         &mut self,
         now: Time,
         peer: &id::Instance,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let lost: Vec<_> = self
@@ -301,48 +307,48 @@
             .filter(|(_, attempt)| attempt.peer == *peer)
             .map(|(request, attempt)| (*request, attempt.call))
             .collect();
-        for (request, number) in lost {
-            self.cut(now, request, number, world, out);
+        for (request, call_id) in lost {
+            self.attempt_link_lost(now, request, call_id, env, out);
         }
     }
 
-    fn cut(
+    fn attempt_link_lost(
         &mut self,
         now: Time,
         request: id::Request,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get(&number) else {
+        let Some(call) = self.calls.get(&call_id) else {
             return;
         };
         match call.state {
             State::Sent(_) => {
                 let failure = Failure::Unknown(Code::LinkLost);
-                if let Some(reason) = self.reason(now, number, failure, false, world) {
-                    self.abandon(now, request, Observation::Unhealthy);
-                    return self.retry(now, number, failure, reason, world, out);
+                if let Some(reason) = self.retry_reason(now, call_id, failure, false, env) {
+                    self.remove_attempt(now, request, Observation::Unhealthy);
+                    return self.retry(now, call_id, failure, reason, env, out);
                 }
-                self.revoke(now, request, number, now + ATTEMPT_QUERY_TIMEOUT, out);
+                self.revoke(now, request, call_id, now + ATTEMPT_QUERY_TIMEOUT, out);
             }
-            State::Revoking { until, .. } => {
-                let again = (now + ATTEMPT_QUERY_INTERVAL).min(until);
-                self.state(
-                    number,
+            State::Revoking { give_up_at, .. } => {
+                let next_query = (now + ATTEMPT_QUERY_INTERVAL).min(give_up_at);
+                self.set_state(
+                    call_id,
                     State::Revoking {
                         request,
-                        again,
-                        until,
+                        next_query,
+                        give_up_at,
                     },
                 );
-                self.wake(number, again);
+                self.set_timer(call_id, next_query);
             }
             State::Delivering(_) => {
-                self.abandon(now, request, Observation::Unhealthy);
-                self.fail(now, number, Code::LinkLost, world, out);
+                self.remove_attempt(now, request, Observation::Unhealthy);
+                self.fail(now, call_id, Code::LinkLost, env, out);
             }
-            State::Charging(_) | State::Backoff(_) => {}
+            State::AwaitingToken(_) | State::Backoff(_) => {}
         }
     }
 
@@ -350,232 +356,247 @@
         &mut self,
         now: Time,
         request: id::Request,
-        number: id::Call,
-        until: Time,
+        call_id: id::Call,
+        give_up_at: Time,
         out: &mut Vec<Action>,
     ) {
-        let (Some(call), Some(attempt)) = (self.calls.get(&number), self.attempts.get(&request))
+        let (Some(call), Some(attempt)) = (self.calls.get(&call_id), self.attempts.get(&request))
         else {
             return;
         };
-        let until = until.min(call.deadline);
-        let again = (now + ATTEMPT_QUERY_INTERVAL + ATTEMPT_QUERY_INTERVAL).min(until);
+        let give_up_at = give_up_at.min(call.deadline);
+        let next_query = (now + ATTEMPT_QUERY_INTERVAL + ATTEMPT_QUERY_INTERVAL).min(give_up_at);
         out.push(Action::Revoke {
             peer: attempt.peer.clone(),
             request,
             life: attempt.life,
             left: now.until(call.deadline),
         });
-        self.state(
-            number,
+        self.set_state(
+            call_id,
             State::Revoking {
                 request,
-                again,
-                until,
+                next_query,
+                give_up_at,
             },
         );
-        self.wake(number, again);
+        self.set_timer(call_id, next_query);
     }
 
-    /// The question had no answer so far.
-    pub(super) fn revoke_again(
+    /// Repeats the query about an attempt's outcome, or gives up.
+    pub(super) fn query_again(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(State::Revoking { request, until, .. }) = self.calls.get(&number).map(|c| c.state)
+        let Some(State::Revoking {
+            request,
+            give_up_at,
+            ..
+        }) = self.calls.get(&call_id).map(|c| c.state)
         else {
             return;
         };
-        if now >= until {
-            self.abandon(now, request, Observation::Unhealthy);
+        if now >= give_up_at {
+            self.remove_attempt(now, request, Observation::Unhealthy);
             let failure = Failure::Unknown(Code::LinkLost);
-            return self.failed(now, number, failure, false, world, out);
+            return self.attempt_failed(now, call_id, failure, false, env, out);
         }
-        self.revoke(now, request, number, until, out);
+        self.revoke(now, request, call_id, give_up_at, out);
     }
 
-    /// The inbound proxy told what became of an attempt.
-    pub(super) fn fate(
+    /// Handles the inbound proxy's reply about the outcome of an attempt.
+    pub(super) fn revoke_result(
         &mut self,
         now: Time,
         peer: &id::Instance,
         request: id::Request,
         fate: Fate,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let number = match self.attempts.get(&request) {
+        let call_id = match self.attempts.get(&request) {
             Some(attempt) if attempt.peer == *peer => attempt.call,
-            _ => return world.counts.add(Counter::Late),
+            _ => return env.counts.add(Counter::Late),
         };
-        let asked = self.calls.get(&number).map(|call| call.state);
-        if !matches!(asked, Some(State::Revoking { .. })) {
-            return world.counts.add(Counter::Late);
+        let state = self.calls.get(&call_id).map(|call| call.state);
+        if !matches!(state, Some(State::Revoking { .. })) {
+            return env.counts.add(Counter::Late);
         }
         let failure = match fate {
             Fate::Revoked => {
-                // Nothing was begun, so nothing of the loan was spent.
-                self.settle(now, request, 0, Observation::Neutral, world);
+                // The attempt was never started, so none of its reserved retries
+                // were spent.
+                self.end_attempt(now, request, 0, Observation::Neutral, env);
                 Failure::NotRun(Code::Revoked)
             }
             Fate::Running | Fate::Ended | Fate::Forgotten => {
-                self.abandon(now, request, Observation::Neutral);
+                self.remove_attempt(now, request, Observation::Neutral);
                 Failure::Unknown(Code::LinkLost)
             }
         };
-        self.failed(now, number, failure, false, world, out);
+        self.attempt_failed(now, call_id, failure, false, env, out);
     }
 
-    /// An attempt has ended badly: the call is tried again or fails.
-    fn failed(
+    /// Handles a failed attempt: retries the call or fails it.
+    fn attempt_failed(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let delivering = |call: &Call| matches!(call.state, State::Delivering(_));
-        let delivered = self.calls.get(&number).is_some_and(delivering);
-        if !delivered && let Some(reason) = self.reason(now, number, failure, no_retry, world) {
-            return self.retry(now, number, failure, reason, world, out);
+        let delivered = self.calls.get(&call_id).is_some_and(delivering);
+        if !delivered && let Some(reason) = self.retry_reason(now, call_id, failure, no_retry, env)
+        {
+            return self.retry(now, call_id, failure, reason, env, out);
         }
         let code = match failure {
             Failure::NotRun(code) | Failure::Unknown(code) => code,
             Failure::Failed => Code::UpstreamFailed,
         };
-        self.fail(now, number, code, world, out);
+        self.fail(now, call_id, code, env, out);
     }
 
-    /// Why the call may be tried again, if it may.
-    pub(super) fn reason(
+    /// Returns the reason for a retry if the call may be retried. Consumes a retry
+    /// from the allowance and the budget unless the retry is free.
+    pub(super) fn retry_reason(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> Option<Reason> {
-        let call = self.calls.get_mut(&number)?;
-        let reason = failure.reason(call.repeatable)?;
-        // What an idempotency record guards is run again by nobody but its owner.
+        let call = self.calls.get_mut(&call_id)?;
+        let reason = failure.reason(call.idempotent)?;
+        // Only the record owner may run a request with an idempotency key again.
         let guarded = call.claim.is_some() && !matches!(failure, Failure::NotRun(_));
         if !call.replayable || guarded {
             return None;
         }
         if failure == Failure::NotRun(Code::Shed) {
-            let rank = Rank::of(&call.context, world.policy.nested_first).0;
-            let passes =
-                self.balancer
-                    .admits_elsewhere(world.members, &call.pool, &call.tried, rank);
+            let rank = Rank::of(&call.context, env.policy.nested_first).0;
+            let passes = self
+                .balancer
+                .admits_elsewhere(env.members, &call.pool, &call.tried, rank);
             if !passes {
                 return None;
             }
         }
-        // Without an instance that has not refused it yet, going on would only
-        // ask again where there was no room a moment ago.
-        let onward = reason == Reason::NotRun && world.policy.max_reroutes > 0;
-        if onward
+        // If every instance has refused the call already, a reroute would only
+        // reach one that had no capacity a moment ago.
+        let is_reroute = reason == Reason::NotRun && env.policy.max_reroutes > 0;
+        if is_reroute
             && failure != Failure::NotRun(Code::UpstreamRejected)
             && !self
                 .balancer
-                .has_untried(world.members, &call.pool, &call.tried)
+                .has_untried(env.members, &call.pool, &call.tried)
         {
-            world.counts.add(Counter::Unretried(reason));
+            env.counts.add(Counter::Unretried(reason));
             return None;
         }
-        let typical = self.typical.get(&call.route).copied().unwrap_or(0.0);
-        let fits = now + Span::from_ms(typical as u64) < call.deadline;
+        let typical_latency = self
+            .typical_latency
+            .get(&call.route)
+            .copied()
+            .unwrap_or(0.0);
+        let fits = now + Span::from_ms(typical_latency as u64) < call.deadline;
         let free = match reason {
-            Reason::Leaving => !call.rerouted || call.reroutes < world.policy.max_reroutes,
-            // No upstream has seen it: going on costs nothing but time.
+            Reason::Leaving => {
+                !call.left_leaving_instance || call.reroutes < env.policy.max_reroutes
+            }
+            // No upstream has seen the call, so a reroute costs nothing but time.
             Reason::NotRun => {
                 failure != Failure::NotRun(Code::UpstreamRejected)
-                    && call.reroutes < world.policy.max_reroutes
+                    && call.reroutes < env.policy.max_reroutes
             }
             Reason::Unknown | Reason::Failed => false,
         };
-        let allowed = fits && (free || self.affordable(now, number, failure, no_retry, world));
+        let allowed = fits && (free || self.take_retry(now, call_id, failure, no_retry, env));
         if !allowed {
-            world.counts.add(Counter::Unretried(reason));
+            env.counts.add(Counter::Unretried(reason));
         }
         allowed.then_some(reason)
     }
 
-    /// Takes one retry out of the purse and the pool's budget, if both have one.
-    fn affordable(
+    /// Consumes one retry from the allowance and from the pool's budget, if both
+    /// have one. After a rejection the budget alone is enough, but then the call is
+    /// sent only to instances that rejected it.
+    fn take_retry(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> bool {
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return false;
         };
-        let rejected = failure == Failure::NotRun(Code::UpstreamRejected);
-        let again =
-            rejected && call.rejected.len() <= usize::from(world.policy.max_rejection_retries);
-        if let RetryLimit::PerHop(most) = world.policy.retry_limit {
+        let is_rejection = failure == Failure::NotRun(Code::UpstreamRejected);
+        let can_repeat =
+            is_rejection && call.rejected_by.len() <= usize::from(env.policy.max_rejection_retries);
+        if let RetryLimit::PerHop(most) = env.policy.retry_limit {
             return call.retries < most;
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
-        let Some(purse) = call.purse(world.proxy.purses()) else {
+        let Some(allowance) = call.allowance(env.proxy.purses()) else {
             return false;
         };
-        let further = purse.remaining() > 0 && !no_retry;
-        if !further && !again {
+        let has_allowance = allowance.remaining() > 0 && !no_retry;
+        if !has_allowance && !can_repeat {
             return false;
         }
-        if world.policy.retry_budget && !self.budget.take(now, &pool, importance) {
+        if env.policy.retry_budget && !self.retry_budget.try_take(now, &pool, importance) {
             return false;
         }
-        if further {
-            return purse.try_take();
+        if has_allowance {
+            return allowance.try_take();
         }
-        call.confined = true;
+        call.only_rejecting_instances = true;
         true
     }
 
     pub(super) fn retry(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         failure: Failure,
         reason: Reason,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
-        world.counts.add(Counter::Retried(reason));
+        env.counts.add(Counter::Retried(reason));
         match failure {
             Failure::NotRun(_) => {}
-            Failure::Unknown(code) => call.taint(code),
-            Failure::Failed => call.taint(Code::UpstreamFailed),
+            Failure::Unknown(code) => call.mark_may_have_run(code),
+            Failure::Failed => call.mark_may_have_run(Code::UpstreamFailed),
         }
-        let unseen = failure != Failure::NotRun(Code::UpstreamRejected);
-        let leaving = reason == Reason::Leaving && !call.rerouted;
-        let onward = reason == Reason::NotRun || reason == Reason::Leaving;
-        if leaving || (onward && unseen && call.reroutes < world.policy.max_reroutes) {
-            call.rerouted |= reason == Reason::Leaving;
+        let not_seen_upstream = failure != Failure::NotRun(Code::UpstreamRejected);
+        let leaving = reason == Reason::Leaving && !call.left_leaving_instance;
+        let is_reroute = reason == Reason::NotRun || reason == Reason::Leaving;
+        if leaving || (is_reroute && not_seen_upstream && call.reroutes < env.policy.max_reroutes) {
+            call.left_leaving_instance |= reason == Reason::Leaving;
             call.reroutes += 1;
-            return self.send(now, number, world, out);
+            return self.send(now, call_id, env, out);
         }
-        let wait = retry::jitter(call.retries, world.rng);
+        let wait = retry::backoff(call.retries, env.rng);
         call.retries += 1;
         let at = (now + wait).min(call.deadline);
         call.state = State::Backoff(at);
         match wait {
-            Span::ZERO => self.send(now, number, world, out),
-            _ => self.wake(number, at),
+            Span::ZERO => self.send(now, call_id, env, out),
+            _ => self.set_timer(call_id, at),
         }
     }
 }
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -1,4 +1,4 @@
-//! One call and its attempt.
+//! State of one call and of its attempts.
 
 use std::{
     cmp::Reverse,
@@ -28,154 +28,156 @@
     record::Claim, //
 };
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It waits for a rate token, until then at most.
-    Charging(Time),
-    /// It waits to be sent again.
+    /// Waits for a rate token, at most until this time.
+    AwaitingToken(Time),
+    /// Waits until this time before it is sent again.
     Backoff(Time),
-    /// Its attempt is at an inbound proxy.
+    /// The attempt was sent to an inbound proxy.
     Sent(id::Request),
-    /// The link broke; the inbound proxy is asked what became of the attempt,
-    /// again at a time, and no longer than until another.
+    /// The link was lost, and the inbound proxy is queried repeatedly about the
+    /// outcome of the attempt.
     Revoking {
         /// The attempt.
         request: id::Request,
-        /// When to ask again, if the link cannot be made.
-        again: Time,
+        /// When to repeat the query if the link can't be established.
+        next_query: Time,
         /// When to give up.
-        until: Time,
+        give_up_at: Time,
     },
-    /// Its answer is on its way to the caller.
+    /// The response of this attempt is being relayed to the caller.
     Delivering(id::Request),
 }
 
-/// One call.
+/// A call that hasn't been answered yet.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its route.
+    /// Route of the call.
     pub route: id::Route,
-    /// Its pool.
+    /// Pool that serves the call.
     pub pool: id::Pool,
-    /// Running it twice does no harm.
-    pub repeatable: bool,
-    /// Its body can be sent again.
+    /// Whether the request can safely run more than once.
+    pub idempotent: bool,
+    /// Whether the body can be sent again.
     pub replayable: bool,
-    /// Its idempotency record.
+    /// Idempotency key and request checksum.
     pub claim: Option<Claim>,
-    /// What rides along; `left`, `age` and `allowance` are made when it is sent.
+    /// Context to propagate; `left`, `age` and `allowance` are set for each attempt.
     pub context: Context,
-    /// When its root arrived, as far as this node can tell.
-    pub root: Time,
-    /// When it must have its answer.
+    /// When the root arrived, as far as this node knows.
+    pub root_arrived: Time,
+    /// When the call must be answered.
     pub deadline: Time,
-    /// The time within which an answer is of full use, counted from its arrival.
+    /// Target latency of the route, counted from the arrival.
     pub target: Option<Span>,
-    /// How long it may wait for a rate token.
-    pub patience: Span,
-    /// Where it stands.
+    /// Maximum time to wait for a rate token.
+    pub max_token_wait: Span,
+    /// Current state.
     pub state: State,
-    /// When it is looked at next.
-    pub wake: Time,
-    /// Instances that had an attempt.
+    /// When the call's timer expires.
+    pub timer: Time,
+    /// Instances that an attempt was sent to.
     pub tried: Vec<id::Instance>,
-    /// Attempts beyond the first.
+    /// Number of retries after a backoff.
     pub retries: u8,
-    /// A leaving instance has already sent it elsewhere.
-    pub rerouted: bool,
-    /// What a root has for retries.
-    pub purse: Allowance,
-    /// Instances that refused it before an upstream saw it, and from which it
-    /// went on.
+    /// Whether the call was already sent elsewhere because an instance was leaving.
+    pub left_leaving_instance: bool,
+    /// Retry allowance, if the call is a root.
+    pub allowance: Allowance,
+    /// Number of reroutes after instances refused the call before an upstream saw it.
     pub reroutes: u8,
-    /// The token it took, while it may be given back.
+    /// The rate token of the call, as long as it can be returned.
     pub grant: Option<id::Grant>,
-    /// An earlier attempt may have run: no refusal may say otherwise.
-    pub tainted: Option<Code>,
-    /// The attempt beside this node that most likely made it, where it names
-    /// none.
-    pub maker: Option<id::Request>,
-    /// The connection that it came over.
+    /// Code of an earlier attempt that may have run. No refusal may claim that the
+    /// call was not run then.
+    pub may_have_run: Option<Code>,
+    /// The local attempt that most likely made the call, if the call names none.
+    pub attributed_to: Option<id::Request>,
+    /// Connection over which the call arrived.
     pub connection: id::Connection,
-    /// Instances whose upstream answered that it has not run it, as often as it
-    /// did.
-    pub rejected: Vec<id::Instance>,
-    /// It may be sent to no further instance, only again to those in
-    /// [`Call::rejected`].
-    pub confined: bool,
+    /// Instances whose upstream answered that it hasn't run the call, with one entry
+    /// for each such answer.
+    pub rejected_by: Vec<id::Instance>,
+    /// Whether the call may be sent only to the instances in [`Call::rejected_by`]
+    /// again, and to no others.
+    pub only_rejecting_instances: bool,
 }
 
 /// One attempt of a call.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The call.
+    /// The call that the attempt belongs to.
     pub call: id::Call,
-    /// Where it was sent.
+    /// Instance that the attempt was sent to.
     pub peer: id::Instance,
-    /// The life that it is for.
+    /// Incarnation that the attempt was sent to.
     pub life: id::Incarnation,
-    /// What it borrowed.
-    pub loan: u8,
-    /// When it was sent.
-    pub sent: Time,
-    /// What its answer tells of the instance.
-    pub mark: Observation,
-    /// Whether the silence of its instance has been considered.
-    pub judged: bool,
+    /// Number of retries reserved for the attempt and the calls below it.
+    pub reserved_retries: u8,
+    /// When the attempt was sent.
+    pub sent_at: Time,
+    /// What the response says about the health of the instance.
+    pub observation: Observation,
+    /// Whether a retry was already considered because the instance is suspected.
+    pub silence_handled: bool,
 }
 
 impl Call {
-    /// The purse that this call's retries come out of: its own for a root, that
-    /// of the running attempt which made it for a nested call.
-    pub fn purse<'a>(&'a mut self, purses: &'a mut Allowances) -> Option<&'a mut Allowance> {
+    /// Returns the allowance that pays for this call's retries: its own if it is a
+    /// root, that of the parent attempt if it is a nested call.
+    pub fn allowance<'a>(
+        &'a mut self,
+        allowances: &'a mut Allowances,
+    ) -> Option<&'a mut Allowance> {
         match self.context.parent {
-            Some(parent) => purses.get_mut(&parent),
-            None => Some(&mut self.purse),
+            Some(parent) => allowances.get_mut(&parent),
+            None => Some(&mut self.allowance),
         }
     }
 
-    /// Remembers that an attempt may have run.
-    pub fn taint(&mut self, code: Code) {
-        self.tainted.get_or_insert(code);
+    /// Records that an attempt may have run. The first code is kept.
+    pub fn mark_may_have_run(&mut self, code: Code) {
+        self.may_have_run.get_or_insert(code);
     }
 }
 
-/// Calls of one team that wait for a rate token: the most important first, and of
-/// these the oldest.
+/// Calls of one team that wait for a rate token, by descending importance and then
+/// by age.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct TokenQueue {
     calls: BTreeSet<(Reverse<Importance>, id::Call)>,
     waiting: Waiting,
 }
 
-impl Line {
-    /// Adds a call, if it is not there.
+impl TokenQueue {
+    /// Adds a call unless it is queued already.
     pub fn insert(&mut self, importance: Importance, call: id::Call) {
         if self.calls.insert((Reverse(importance), call)) {
             self.waiting.add(importance);
         }
     }
 
-    /// Takes a call out, if it is there.
+    /// Removes a call if it is queued.
     pub fn remove(&mut self, importance: Importance, call: id::Call) {
         if self.calls.remove(&(Reverse(importance), call)) {
             self.waiting.remove(importance);
         }
     }
 
-    /// The call that gets the next token.
+    /// Returns the call that gets the next token.
     pub fn first(&self) -> Option<id::Call> {
         self.calls.first().map(|(_, call)| *call)
     }
 
-    /// How many wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// How many of each importance wait beside this call.
-    pub fn beside(&self, importance: Importance, call: id::Call) -> Waiting {
+    /// Returns the number of queued calls by importance, without this call.
+    pub fn waiting_besides(&self, importance: Importance, call: id::Call) -> Waiting {
         let mut waiting = self.waiting;
         if self.calls.contains(&(Reverse(importance), call)) {
             waiting.remove(importance);
@@ -183,14 +185,14 @@
         waiting
     }
 
-    /// How many of each importance wait.
+    /// Returns the number of queued calls by importance.
     pub fn waiting(&self) -> Waiting {
         self.waiting
     }
 }
 
-/// What a charge leads to.
-pub fn charged(charge: Charge) -> Result<Option<id::Grant>, Code> {
+/// Converts the result of a charge: a grant, `None` while pending, or a refusal.
+pub fn charge_result(charge: Charge) -> Result<Option<id::Grant>, Code> {
     match charge {
         Charge::Taken(grant) => Ok(Some(grant)),
         Charge::Pending => Ok(None),
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -1,4 +1,4 @@
-//! How calls end, and what they leave behind.
+//! End of calls and attempts, and the cleanup of their state.
 
 use super::{
     Action,
@@ -24,142 +24,152 @@
 };
 
 impl Router {
-    /// The call fails for good. If an earlier attempt may have run, the code
-    /// that says "not run" would be false and gives way.
+    /// Refuses the call. If an earlier attempt may have run, a code with the verdict
+    /// "not run" would be wrong and is replaced by the code of that attempt.
     pub(super) fn fail(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         code: Code,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&number) else {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         let not_run = code.verdict() == Verdict::NotRun;
-        let code = match call.tainted {
+        let code = match call.may_have_run {
             Some(earlier) if not_run => earlier,
             _ => code,
         };
         if code.verdict() == Verdict::NotRun
             && let Some(grant) = call.grant.take()
         {
-            world.quota.give_back(now, &call.context.team, grant);
+            env.quota.give_back(now, &call.context.team, grant);
         }
-        self.last_word(now, number, world);
-        world.counts.add(Counter::Refused(code));
-        let wait = self.wait(now, number, code, world);
-        out.push(Action::Refuse(number, code, wait));
-        self.forget(now, number, world);
+        self.forbid_parent_retry(now, call_id, env);
+        env.counts.add(Counter::Refused(code));
+        let wait = self.retry_after(now, call_id, code, env);
+        out.push(Action::Refuse(call_id, code, wait));
+        self.remove_call(now, call_id, env);
     }
 
-    /// When the caller had best come back.
-    fn wait(
+    /// Returns the `Retry-After` for the caller.
+    fn retry_after(
         &self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         code: Code,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> Option<Span> {
-        let call = self.calls.get(&number)?;
-        let usual = self.typical.get(&call.route).copied().unwrap_or(0.0);
+        let call = self.calls.get(&call_id)?;
+        let usual = self
+            .typical_latency
+            .get(&call.route)
+            .copied()
+            .unwrap_or(0.0);
         let refusal = comeback::Refusal {
             code,
-            waited: now.since(call.root),
+            waited: now.since(call.root_arrived),
             left: now.until(call.deadline),
             target: call.target,
             service_time: Span::from_ms(usual as u64),
             earliest: match code {
-                Code::RateExceeded => world.quota.wait(now, &call.context.team),
+                Code::RateExceeded => env.quota.wait(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
-        refusal.retry_after(world.rng)
+        refusal.retry_after(env.rng)
     }
 
-    /// The attempt that made this call must not be tried again for its failure:
-    /// this hop has judged it.
-    pub(super) fn last_word(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
-        let Some(call) = self.calls.get_mut(&number) else {
+    /// Prevents hops above from retrying the parent attempt because of this call's
+    /// failure, which this hop has already handled.
+    pub(super) fn forbid_parent_retry(
+        &mut self,
+        now: Time,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
+    ) {
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         if call.context.key.is_none() && call.context.parent.is_none() {
-            world.proxy.call_failed(now);
+            env.proxy.call_failed(now);
         }
         if let Some(parent) = call.context.parent
-            && let Some(purse) = world.proxy.purses().get_mut(&parent)
+            && let Some(allowance) = env.proxy.purses().get_mut(&parent)
         {
-            purse.no_retry = true;
+            allowance.no_retry = true;
         }
     }
 
-    /// The deadline has passed.
-    pub(super) fn late(
+    /// Handles an expired deadline.
+    pub(super) fn deadline_passed(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let code = match self.withdraw(now, number, world.policy, out) {
+        let code = match self.cancel_attempt(now, call_id, env.policy, out) {
             true => Code::DeadlinePassed,
             false => Code::DeadlineUnfit,
         };
-        self.fail(now, number, code, world, out);
+        self.fail(now, call_id, code, env, out);
     }
 
-    /// The caller hung up.
-    pub(super) fn gone(
+    /// Handles a caller that closed its connection.
+    pub(super) fn caller_gone(
         &mut self,
         now: Time,
-        number: id::Call,
-        world: &mut Environment<'_>,
+        call_id: id::Call,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        let sent = self.withdraw(now, number, world.policy, out);
-        let Some(call) = self.calls.get_mut(&number) else {
+        let sent = self.cancel_attempt(now, call_id, env.policy, out);
+        let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         if !sent
-            && call.tainted.is_none()
+            && call.may_have_run.is_none()
             && let Some(grant) = call.grant.take()
         {
-            world.quota.give_back(now, &call.context.team, grant);
+            env.quota.give_back(now, &call.context.team, grant);
         }
-        world.counts.add(Counter::Refused(Code::CallerGone));
-        self.forget(now, number, world);
+        env.counts.add(Counter::Refused(Code::CallerGone));
+        self.remove_call(now, call_id, env);
     }
 
-    /// The attempt that made nested calls is over: nobody takes their answers.
-    pub(super) fn orphan(
+    /// Handles the end of an attempt that made nested calls: cancels those that are
+    /// still open, because nobody waits for their responses.
+    pub(super) fn parent_ended(
         &mut self,
         now: Time,
         parent: id::Request,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        if !world.policy.cancellation {
+        if !env.policy.cancellation {
             return;
         }
-        for number in self.children.remove(&parent).unwrap_or_default() {
-            let code = match self.withdraw(now, number, world.policy, out) {
+        for call_id in self.nested_calls.remove(&parent).unwrap_or_default() {
+            let code = match self.cancel_attempt(now, call_id, env.policy, out) {
                 true => Code::DeadlinePassed,
                 false => Code::ParentGone,
             };
-            self.fail(now, number, code, world, out);
+            self.fail(now, call_id, code, env, out);
         }
     }
 
     /// Cancels the call's attempt. Returns whether there was one.
-    fn withdraw(
+    fn cancel_attempt(
         &mut self,
         now: Time,
-        number: id::Call,
+        call_id: id::Call,
         policy: Policy,
         out: &mut Vec<Action>,
     ) -> bool {
-        let request = match self.calls.get(&number).map(|call| call.state) {
+        let request = match self.calls.get(&call_id).map(|call| call.state) {
             Some(State::Sent(request) | State::Delivering(request)) => request,
             Some(State::Revoking { request, .. }) => request,
             _ => return false,
@@ -169,37 +179,37 @@
         {
             out.push(Action::Cancel(attempt.peer.clone(), request));
         }
-        self.abandon(now, request, Observation::Neutral);
+        self.remove_attempt(now, request, Observation::Neutral);
         true
     }
 
-    /// Reads a report. Returns the call, if the attempt is still one of its
-    /// and the word comes from the instance that it was sent to.
-    pub(super) fn heard(
+    /// Processes a report. Returns the call if the attempt is still open and the
+    /// report comes from the instance that it was sent to.
+    pub(super) fn process_report(
         &mut self,
         now: Time,
         peer: &id::Instance,
         request: id::Request,
         report: &Report,
-        world: &mut Environment<'_>,
+        env: &mut Environment<'_>,
     ) -> Option<id::Call> {
         self.hints.note(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
-        world.quota.heard(now, peer, report.life, report.clock);
+        env.quota.heard(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
-            world.counts.add(Counter::Late);
+            env.counts.add(Counter::Late);
             return None;
         };
         if let Some(call) = self.calls.get(&attempt.call) {
             self.balancer
                 .record_service_time(peer, &call.route, report.service);
             let team = &call.context.team;
-            // One that leaves sheds nothing, as it takes nothing: its level
-            // would hide that those which stay are overloaded.
+            // A leaving instance sheds nothing, because it accepts nothing. Its
+            // level would hide the overload of the remaining instances.
             match report.leaving {
-                true => world.levels.forget_peer(&call.route, peer),
-                false => world
+                true => env.levels.forget_peer(&call.route, peer),
+                false => env
                     .levels
                     .observe(now, peer, &call.route, team, report.level),
             }
@@ -207,59 +217,70 @@
         Some(attempt.call)
     }
 
-    /// An attempt has ended, and its answer tells what it spent of its loan.
-    pub(super) fn settle(
+    /// Ends an attempt whose response reports how many reserved retries it spent.
+    pub(super) fn end_attempt(
         &mut self,
         now: Time,
         request: id::Request,
         spent: u8,
-        mark: Observation,
-        world: &mut Environment<'_>,
+        observation: Observation,
+        env: &mut Environment<'_>,
     ) {
-        self.repay(request, spent, world);
-        self.abandon(now, request, mark);
+        self.release_unspent(request, spent, env);
+        self.remove_attempt(now, request, observation);
     }
 
-    /// Returns what an attempt has not spent of its loan, once.
-    pub(super) fn repay(&mut self, request: id::Request, spent: u8, world: &mut Environment<'_>) {
+    /// Releases the retries that an attempt reserved but didn't spend. Has an effect
+    /// only once per attempt.
+    pub(super) fn release_unspent(
+        &mut self,
+        request: id::Request,
+        spent: u8,
+        env: &mut Environment<'_>,
+    ) {
         let Some(attempt) = self.attempts.get_mut(&request) else {
             return;
         };
-        let loan = std::mem::take(&mut attempt.loan);
+        let reserved_retries = std::mem::take(&mut attempt.reserved_retries);
         let call = self.calls.get_mut(&attempt.call);
-        if let Some(purse) = call.and_then(|call| call.purse(world.proxy.purses())) {
-            purse.release(loan, spent);
+        if let Some(allowance) = call.and_then(|call| call.allowance(env.proxy.purses())) {
+            allowance.release(reserved_retries, spent);
         }
     }
 
-    /// An attempt's end will not be heard: its loan is lost.
-    pub(super) fn abandon(&mut self, now: Time, request: id::Request, mark: Observation) {
+    /// Removes an attempt. Retries that are still reserved for it are lost.
+    pub(super) fn remove_attempt(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        observation: Observation,
+    ) {
         if let Some(attempt) = self.attempts.remove(&request) {
-            self.balancer.record_end(now, &attempt.peer, mark);
+            self.balancer.record_end(now, &attempt.peer, observation);
         }
     }
 
-    pub(super) fn state(&mut self, number: id::Call, state: State) {
-        if let Some(call) = self.calls.get_mut(&number) {
+    pub(super) fn set_state(&mut self, call_id: id::Call, state: State) {
+        if let Some(call) = self.calls.get_mut(&call_id) {
             call.state = state;
         }
     }
 
-    pub(super) fn forget(&mut self, now: Time, number: id::Call, world: &mut Environment<'_>) {
-        self.charged(number);
-        let Some(call) = self.calls.remove(&number) else {
+    pub(super) fn remove_call(&mut self, now: Time, call_id: id::Call, env: &mut Environment<'_>) {
+        self.leave_token_queue(call_id);
+        let Some(call) = self.calls.remove(&call_id) else {
             return;
         };
-        if let Some(maker) = call.maker {
-            world.proxy.returned(now, maker, call.connection);
+        if let Some(attributed_to) = call.attributed_to {
+            env.proxy.returned(now, attributed_to, call.connection);
         }
-        self.timers.remove(&(call.wake, number));
+        self.timers.remove(&(call.timer, call_id));
         if let Some(parent) = call.context.parent
-            && let Some(children) = self.children.get_mut(&parent)
+            && let Some(siblings) = self.nested_calls.get_mut(&parent)
         {
-            children.remove(&number);
-            if children.is_empty() {
-                self.children.remove(&parent);
+            siblings.remove(&call_id);
+            if siblings.is_empty() {
+                self.nested_calls.remove(&parent);
             }
         }
     }
--- a/src/request/ingress/silence.rs
+++ b/src/request/ingress/silence.rs
@@ -1,10 +1,10 @@
-//! Attempts at an instance that has fallen silent.
+//! Retries of attempts at unresponsive instances.
 //!
-//! Guards against an instance that is stopped but still connected: no link
-//! breaks, so each of its requests would hold a slot of its caller until the
-//! deadline, and the callers' pools fill up behind it. Membership suspects the
-//! instance within a second or two. What may run twice is then sent elsewhere;
-//! anything else waits on, as only its own answer can tell what became of it.
+//! A stopped instance can stay connected. No link is lost then, so each of its
+//! requests would hold a slot of its caller until the deadline, and the callers'
+//! pools would fill up. The membership protocol suspects the instance within a
+//! second or two. Idempotent requests are then sent to another instance. Other
+//! requests keep waiting, because only their own response tells their outcome.
 
 use super::{
     Action,
@@ -24,36 +24,41 @@
     retry::Failure, //
 };
 
-/// Time between two looks at the members.
-pub(super) const LOOK: Span = Span::from_ms(100);
+/// Interval between checks of the member table.
+pub(super) const SILENCE_CHECK_INTERVAL: Span = Span::from_ms(100);
 
 impl Router {
-    /// Sends elsewhere what waits at suspected instances and may run twice.
-    pub(super) fn listen(&mut self, now: Time, world: &mut Environment<'_>, out: &mut Vec<Action>) {
-        let silent = |peer: &id::Instance| {
-            let status = world.members.get(peer).map(|peer| peer.status);
+    /// Retries attempts at suspected instances if they can safely run twice.
+    pub(super) fn check_silent_peers(
+        &mut self,
+        now: Time,
+        env: &mut Environment<'_>,
+        out: &mut Vec<Action>,
+    ) {
+        let is_silent = |peer: &id::Instance| {
+            let status = env.members.get(peer).map(|peer| peer.status);
             matches!(status, Some(Status::Suspect | Status::Dead))
         };
-        let waiting: Vec<_> = self
+        let unanswered: Vec<_> = self
             .attempts
             .iter_mut()
-            .filter(|(_, attempt)| !attempt.judged && silent(&attempt.peer))
+            .filter(|(_, attempt)| !attempt.silence_handled && is_silent(&attempt.peer))
             .map(|(request, attempt)| {
-                // Judged once: a purse that has nothing left is not asked again.
-                attempt.judged = true;
+                // Considered only once: an exhausted allowance isn't checked again.
+                attempt.silence_handled = true;
                 (*request, attempt.call, attempt.peer.clone())
             })
             .collect();
-        for (request, number, peer) in waiting {
-            let sent = |call: &super::Call| call.state == State::Sent(request);
-            if !self.calls.get(&number).is_some_and(sent) {
+        for (request, call_id, peer) in unanswered {
+            let is_sent = |call: &super::Call| call.state == State::Sent(request);
+            if !self.calls.get(&call_id).is_some_and(is_sent) {
                 continue;
             }
             let failure = Failure::Unknown(Code::LinkLost);
-            if let Some(reason) = self.reason(now, number, failure, false, world) {
-                self.abandon(now, request, Observation::Unhealthy);
+            if let Some(reason) = self.retry_reason(now, call_id, failure, false, env) {
+                self.remove_attempt(now, request, Observation::Unhealthy);
                 out.push(Action::Cancel(peer, request));
-                self.retry(now, number, failure, reason, world, out);
+                self.retry(now, call_id, failure, reason, env, out);
             }
         }
     }
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a failed attempt may be tried again.
+//! Retry decisions and budgets.
 //!
-//! A request that is not idempotent is tried again only when it was certainly
-//! not run. The root's [allowance](crate::allowance) bounds the retries of one
-//! request, the [`Budget`] those of one pool.
+//! A request that isn't idempotent is retried only if it was certainly not run.
+//! The root's [allowance](crate::allowance) limits the retries of one request, the
+//! [`Budget`] limits those of one pool.
 
 use std::collections::BTreeMap;
 
@@ -19,58 +19,59 @@
     id::Pool, //
 };
 
-/// The share of first tries that a pool's retries may amount to.
-const RATIO: f64 = 0.1;
-/// Retries a second that are always allowed, so that a pool with little traffic
-/// can retry at all.
-const FLOOR: f64 = 2.0;
-/// Retries that may be saved up.
-const SAVED: f64 = 20.0;
-/// The time over which the rate of first tries is taken.
-const LATELY: Span = Span::from_secs(2);
-/// The ceiling of the first wait, doubled for each further one.
-const WAIT: Span = Span::from_ms(10);
-const LONGEST_WAIT: Span = Span::from_ms(500);
-
-/// Why an attempt is tried again.
+/// Default ratio of a pool's retries to its first attempts.
+const DEFAULT_RATIO: f64 = 0.1;
+/// Default retries per second that are always allowed, so that a pool with little
+/// traffic can retry at all.
+const DEFAULT_MIN_RATE: f64 = 2.0;
+/// Default number of retries that can be saved up.
+const DEFAULT_BURST: f64 = 20.0;
+/// Time constant of the moving rate of first attempts.
+const RATE_WINDOW: Span = Span::from_secs(2);
+/// Upper bound of the first backoff, which doubles for each further retry up to
+/// `MAX_BACKOFF`.
+const INITIAL_BACKOFF: Span = Span::from_ms(10);
+const MAX_BACKOFF: Span = Span::from_ms(500);
+
+/// Why an attempt is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// The inbound proxy said that it has not run.
+    /// The inbound proxy reported that the request was not run.
     NotRun,
-    /// The instance is leaving; costs nothing, once a hop.
+    /// The instance is leaving. Once per hop, such a retry isn't counted.
     Leaving,
     /// The outcome is unknown and the request is idempotent.
     Unknown,
-    /// The upstream answered that it failed, and the request is idempotent.
+    /// The upstream responded with a failure and the request is idempotent.
     Failed,
 }
 
-/// How an attempt ended without success.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It was certainly not run.
+    /// The request was certainly not run.
     NotRun(Code),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Code),
-    /// The upstream answered with a status that means failure.
+    /// The upstream responded with a failure status.
     Failed,
 }
 
 impl Failure {
-    /// Why the request may be tried again, if its own nature allows it.
-    pub fn reason(self, repeatable: bool) -> Option<Reason> {
+    /// Returns the reason for a retry, or `None` if the failure doesn't allow one.
+    pub fn reason(self, idempotent: bool) -> Option<Reason> {
         match self {
             Self::NotRun(Code::Leaving) => Some(Reason::Leaving),
-            Self::NotRun(code) if elsewhere(code) => Some(Reason::NotRun),
+            Self::NotRun(code) if may_succeed_elsewhere(code) => Some(Reason::NotRun),
             Self::NotRun(_) => None,
-            Self::Unknown(_) => repeatable.then_some(Reason::Unknown),
-            Self::Failed => repeatable.then_some(Reason::Failed),
+            Self::Unknown(_) => idempotent.then_some(Reason::Unknown),
+            Self::Failed => idempotent.then_some(Reason::Failed),
         }
     }
 }
 
-/// Whether another instance may take what this one refused.
-fn elsewhere(code: Code) -> bool {
+/// Returns whether another instance may accept a request refused with this code.
+fn may_succeed_elsewhere(code: Code) -> bool {
     matches!(
         code,
         Code::Shed
@@ -86,107 +87,108 @@
     )
 }
 
-/// Whether a status tells that the upstream failed, which another try may mend.
-pub fn failed(status: u16) -> bool {
+/// Returns whether a status stands for an upstream failure that a retry may avoid.
+pub fn is_failure(status: u16) -> bool {
     matches!(status, 500 | 502 | 503 | 504)
 }
 
-/// What a pool's retries may amount to at one node.
+/// Limits on a pool's retries at one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The share of first tries.
+    /// Ratio of retries to first attempts.
     pub ratio: f64,
-    /// Retries a second that are always allowed.
+    /// Retries per second that are always allowed.
     pub min_rate: f64,
-    /// Retries that may be saved up.
+    /// Number of retries that can be saved up.
     pub burst: f64,
-    /// For so much of the present first tries their share may be saved beside.
+    /// Additional burst: the retries that the ratio earns in this time at the current
+    /// rate of first attempts.
     pub burst_window: Span,
-    /// The part of what may be saved that only the most important requests use.
+    /// Fraction of the burst that is reserved for critical requests.
     pub critical_reserve: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            ratio: RATIO,
-            min_rate: FLOOR,
-            burst: SAVED,
+            ratio: DEFAULT_RATIO,
+            min_rate: DEFAULT_MIN_RATE,
+            burst: DEFAULT_BURST,
             burst_window: Span::ZERO,
             critical_reserve: 0.0,
         }
     }
 }
 
-/// The retries of each pool, as a share of its first tries.
+/// Retry budget of each pool, as a ratio of its first attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    terms: Limits,
-    pools: BTreeMap<Pool, Saved>,
+    limits: Limits,
+    pools: BTreeMap<Pool, Bucket>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Saved {
+struct Bucket {
     tokens: f64,
-    at: Time,
-    /// First tries a second, of late.
-    rate: f64,
+    updated: Time,
+    /// Recent first attempts per second.
+    first_attempt_rate: f64,
 }
 
 impl Budget {
-    /// Goes by other terms from now on.
-    pub fn limit(&mut self, terms: Limits) {
-        self.terms = terms;
+    /// Replaces the limits.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
     }
 
-    /// Counts a first try.
-    pub fn first(&mut self, now: Time, pool: &Pool) {
-        let terms = self.terms;
-        let saved = self.saved(now, pool);
-        saved.rate += 1.0 / LATELY.as_secs_f64();
-        saved.tokens = (saved.tokens + terms.ratio).min(saved.most(terms));
+    /// Records a first attempt, which earns a fraction of a retry.
+    pub fn record_first_attempt(&mut self, now: Time, pool: &Pool) {
+        let limits = self.limits;
+        let bucket = self.bucket(now, pool);
+        bucket.first_attempt_rate += 1.0 / RATE_WINDOW.as_secs_f64();
+        bucket.tokens = (bucket.tokens + limits.ratio).min(bucket.capacity(limits));
     }
 
-    /// Takes one retry, if the pool has one for a request of this importance.
-    pub fn take(&mut self, now: Time, pool: &Pool, importance: Importance) -> bool {
-        let terms = self.terms;
-        let saved = self.saved(now, pool);
-        let kept = match importance {
+    /// Consumes one retry if the pool's budget allows it for this importance.
+    pub fn try_take(&mut self, now: Time, pool: &Pool, importance: Importance) -> bool {
+        let limits = self.limits;
+        let bucket = self.bucket(now, pool);
+        let reserved = match importance {
             Importance::Critical => 0.0,
-            _ => saved.most(terms) * terms.critical_reserve,
+            _ => bucket.capacity(limits) * limits.critical_reserve,
         };
-        let some = saved.tokens >= 1.0 + kept;
-        saved.tokens -= f64::from(u8::from(some));
-        some
+        let available = bucket.tokens >= 1.0 + reserved;
+        bucket.tokens -= f64::from(u8::from(available));
+        available
     }
 
-    fn saved(&mut self, now: Time, pool: &Pool) -> &mut Saved {
-        let terms = self.terms;
-        let fresh = Saved {
-            tokens: terms.min_rate.min(terms.burst),
-            at: now,
-            rate: 0.0,
+    fn bucket(&mut self, now: Time, pool: &Pool) -> &mut Bucket {
+        let limits = self.limits;
+        let initial = Bucket {
+            tokens: limits.min_rate.min(limits.burst),
+            updated: now,
+            first_attempt_rate: 0.0,
         };
-        let saved = self.pools.entry(pool.clone()).or_insert(fresh);
-        let passed = now.since(saved.at);
-        let gained = passed.as_secs_f64() * terms.min_rate;
-        saved.rate *= (-passed.as_secs_f64() / LATELY.as_secs_f64()).exp();
-        saved.tokens = (saved.tokens + gained).min(saved.most(terms));
-        saved.at = now;
-        saved
+        let bucket = self.pools.entry(pool.clone()).or_insert(initial);
+        let elapsed = now.since(bucket.updated);
+        let refill = elapsed.as_secs_f64() * limits.min_rate;
+        bucket.first_attempt_rate *= (-elapsed.as_secs_f64() / RATE_WINDOW.as_secs_f64()).exp();
+        bucket.tokens = (bucket.tokens + refill).min(bucket.capacity(limits));
+        bucket.updated = now;
+        bucket
     }
 }
 
-impl Saved {
-    fn most(&self, terms: Limits) -> f64 {
-        terms.burst + terms.ratio * self.rate * terms.burst_window.as_secs_f64()
+impl Bucket {
+    fn capacity(&self, limits: Limits) -> f64 {
+        limits.burst + limits.ratio * self.first_attempt_rate * limits.burst_window.as_secs_f64()
     }
 }
 
-/// The wait before a retry, anywhere up to a ceiling that doubles, so that
-/// requests which failed together do not return together.
-pub fn jitter(retries: u8, rng: &mut ChaCha8Rng) -> Span {
-    let ceiling = WAIT.as_ms() << retries.min(16);
-    let ceiling = ceiling.min(LONGEST_WAIT.as_ms());
+/// Returns the wait before a retry: random, up to a bound that doubles with each
+/// retry, so that requests that failed together don't retry together.
+pub fn backoff(retries: u8, rng: &mut ChaCha8Rng) -> Span {
+    let ceiling = INITIAL_BACKOFF.as_ms() << retries.min(16);
+    let ceiling = ceiling.min(MAX_BACKOFF.as_ms());
     Span::from_ms(rng.random_range(0..=ceiling))
 }
