--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -108,7 +108,7 @@
         if self.rights.planned.is_none_or(|at| now.since(at) >= PLAN) {
             self.rights.planned = Some(now);
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
-            self.rights.directory.plan(plan.records());
+            self.rights.directory.set_candidates(plan.records());
             self.rights.plan = plan;
             self.quota.adopt(now, &self.snapshot.teams.teams);
         }
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -21,8 +21,8 @@
     record::{
         self,
         Arrival,
-        Fate,
         Name,
+        Reply,
         Verdict, //
     },
 };
@@ -55,7 +55,7 @@
             key: claim.key.clone(),
         };
         let arrival = Arrival {
-            seat: record::seat(&route.pool, &name),
+            seat: record::seat_of(&route.pool, &name),
             name,
             fingerprint: claim.fingerprint,
             request,
@@ -76,7 +76,7 @@
             Verdict::Replay(whole) => Ok(whole),
             Verdict::Refuse(code) => Err(code),
         };
-        let fate = Fate {
+        let fate = Reply {
             peer: peer.clone(),
             request,
             answer,
@@ -91,7 +91,9 @@
         let right = rights.keeper.ownership(now, &arrival.seat);
         let wall = rights.wall.map(|(at, wall)| wall + now.since(at).as_ms());
         if let Some(right) = right.filter(|_| rights.leaving.is_none()) {
-            return rights.records.arrive(now, right, arrival, life, wall);
+            return rights
+                .records
+                .handle_arrival(now, right, arrival, life, wall);
         }
         if rights.leaving.is_none() {
             rights.keeper.note_unreachable_owner(now, &arrival.seat);
@@ -112,7 +114,7 @@
     }
 
     pub(in super::super) fn record_kept(&mut self, request: id::Request, whole: Box<Whole>) {
-        self.rights.records.keep(request, whole);
+        self.rights.records.store_response(request, whole);
     }
 
     pub(in super::super) fn record_ended(
@@ -158,8 +160,8 @@
         self.record_tell(now, fates, out);
     }
 
-    fn record_tell(&mut self, now: Time, fates: Vec<Fate>, out: &mut Vec<Action>) {
-        for Fate {
+    fn record_tell(&mut self, now: Time, fates: Vec<Reply>, out: &mut Vec<Action>) {
+        for Reply {
             peer,
             request,
             answer,
@@ -185,7 +187,7 @@
 
     /// Hands all records to the successor.
     pub(super) fn records_hand_on(&mut self, now: Time, to: &id::Instance, out: &mut Vec<Action>) {
-        for (seat, epoch, records) in self.rights.records.hand_on() {
+        for (seat, epoch, records) in self.rights.records.export() {
             let message = record::Message::Records(seat, epoch, records);
             self.record_send(now, to, message, out);
         }
@@ -211,9 +213,9 @@
         _out: &mut Vec<Action>,
     ) {
         match message {
-            record::Message::Elsewhere(seat, owner) => self.rights.directory.learn(seat, owner),
+            record::Message::Elsewhere(seat, owner) => self.rights.directory.set_owner(seat, owner),
             record::Message::Records(seat, epoch, records) => {
-                self.rights.records.inherit(seat, epoch, records);
+                self.rights.records.import(seat, epoch, records);
             }
         }
     }
--- a/src/process/node/rights/seats.rs
+++ b/src/process/node/rights/seats.rs
@@ -82,8 +82,8 @@
     pub(super) fn records(&self) -> BTreeMap<Seat, Vec<Instance>> {
         let mut all = BTreeMap::new();
         for (pool, keepers) in &self.pools {
-            for number in 0..record::SLICES {
-                let seat = record::slice(pool, number);
+            for number in 0..record::SLICES_PER_POOL {
+                let seat = record::slice_seat(pool, number);
                 let mut ranked = keepers.clone();
                 ranked.sort_by_key(|instance| Reverse(score(&seat.0, instance)));
                 all.insert(seat, ranked);
--- a/src/request/record.rs
+++ b/src/request/record.rs
@@ -20,8 +20,8 @@
 pub use self::{
     owner::{
         Arrival,
-        Fate,
         Owner,
+        Reply,
         Verdict, //
     },
     slice::Slice,
@@ -40,7 +40,7 @@
 };
 
 /// Slices of a pool's keys. Every node must count alike.
-pub const SLICES: u64 = 4;
+pub const SLICES_PER_POOL: u64 = 4;
 
 /// What a caller's `Idempotency-Key` amounts to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
 
 /// A record as a leaving owner hands it on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct TransferredRecord {
     /// Its name.
     pub name: Name,
     /// The request that it guards.
@@ -77,17 +77,17 @@
     /// That node owns the slice.
     Elsewhere(Seat, Instance),
     /// All records of a slice, from the owner that leaves.
-    Records(Seat, Epoch, Vec<Handed>),
+    Records(Seat, Epoch, Vec<TransferredRecord>),
 }
 
 /// The slice that a record belongs to.
-pub fn seat(pool: &Pool, name: &Name) -> Seat {
+pub fn seat_of(pool: &Pool, name: &Name) -> Seat {
     let text = format!("{} {}", name.team, name.key);
-    slice(pool, xxh3_64(text.as_bytes()) % SLICES)
+    slice_seat(pool, xxh3_64(text.as_bytes()) % SLICES_PER_POOL)
 }
 
 /// One slice of a pool's keys.
-pub fn slice(pool: &Pool, number: u64) -> Seat {
+pub fn slice_seat(pool: &Pool, number: u64) -> Seat {
     Seat(format!("record/{pool}/{number}"))
 }
 
@@ -100,19 +100,19 @@
 
 impl Directory {
     /// Learns who owns a slice.
-    pub fn learn(&mut self, seat: Seat, owner: Instance) {
+    pub fn set_owner(&mut self, seat: Seat, owner: Instance) {
         self.owners.insert(seat, owner);
     }
 
     /// Learns who may own each slice, best first.
-    pub fn plan(&mut self, candidates: BTreeMap<Seat, Vec<Instance>>) {
+    pub fn set_candidates(&mut self, candidates: BTreeMap<Seat, Vec<Instance>>) {
         self.candidates = candidates;
     }
 
     /// The node to send a claimed request to: the last known owner, else the one
     /// after the other that may own the slice.
     pub fn find(&self, pool: &Pool, name: &Name, tried: &[Instance]) -> Option<&Instance> {
-        let seat = seat(pool, name);
+        let seat = seat_of(pool, name);
         let untried = |instance: &&Instance| !tried.contains(instance);
         let known = self.owners.get(&seat);
         let candidates = self.candidates.get(&seat).into_iter().flatten();
--- a/src/request/record/owner.rs
+++ b/src/request/record/owner.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    Handed, Name, Slice,
+    Name, Slice, TransferredRecord,
     slice::{
         Record,
         State, //
@@ -71,7 +71,7 @@
 
 /// What an attempt that waited is told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fate {
+pub struct Reply {
     /// Who sent it.
     pub peer: Instance,
     /// The attempt's number.
@@ -88,13 +88,13 @@
     fresh: BTreeMap<Request, Box<Whole>>,
     kept: VecDeque<(Seat, Name, usize)>,
     bytes: usize,
-    inherited: BTreeMap<Seat, (Epoch, Vec<Handed>)>,
+    inherited: BTreeMap<Seat, (Epoch, Vec<TransferredRecord>)>,
 }
 
 impl Owner {
     /// Judges a claimed attempt under a right that holds now. `life` is how long
     /// records live, `wall` the wall clock in milliseconds, where it is known.
-    pub fn arrive(
+    pub fn handle_arrival(
         &mut self,
         now: Time,
         right: Ownership,
@@ -146,14 +146,14 @@
     }
 
     /// The whole answer of an attempt is about to end it.
-    pub fn keep(&mut self, request: Request, whole: Box<Whole>) {
+    pub fn store_response(&mut self, request: Request, whole: Box<Whole>) {
         if self.running.contains_key(&request) {
             self.fresh.insert(request, whole);
         }
     }
 
     /// The upstream's part of an attempt has ended.
-    pub fn ended(&mut self, now: Time, request: Request, end: End) -> Vec<Fate> {
+    pub fn ended(&mut self, now: Time, request: Request, end: End) -> Vec<Reply> {
         let whole = self.fresh.remove(&request);
         match (end, whole) {
             (End::Refused, _) => self.clear(request, Code::UpstreamRefused),
@@ -163,7 +163,7 @@
     }
 
     /// The attempt was refused before it began.
-    pub fn refused(&mut self, request: Request, code: Code) -> Vec<Fate> {
+    pub fn refused(&mut self, request: Request, code: Code) -> Vec<Reply> {
         match code.verdict() {
             Ran::NotRun => self.clear(request, code),
             Ran::Unknown => Vec::new(),
@@ -172,7 +172,7 @@
 
     /// Forgets records that are older than `life`, and those of attempts that
     /// were withdrawn before they began, which `holds` does not know.
-    pub fn tick(&mut self, now: Time, life: Span, holds: impl Fn(Request) -> bool) -> Vec<Fate> {
+    pub fn tick(&mut self, now: Time, life: Span, holds: impl Fn(Request) -> bool) -> Vec<Reply> {
         for slice in self.slices.values_mut() {
             slice.records.retain(|_, record| {
                 now.since(record.at) < life || matches!(record.state, State::Running(..))
@@ -188,9 +188,9 @@
     }
 
     /// All records of the slices, for the node that follows an owner which leaves.
-    pub fn hand_on(&self) -> Vec<(Seat, Epoch, Vec<Handed>)> {
+    pub fn export(&self) -> Vec<(Seat, Epoch, Vec<TransferredRecord>)> {
         let complete = self.slices.iter().filter(|(_, slice)| slice.complete);
-        let handed = |(name, record): (&Name, &Record)| Handed {
+        let handed = |(name, record): (&Name, &Record)| TransferredRecord {
             name: name.clone(),
             fingerprint: record.fingerprint,
             whole: match &record.state {
@@ -208,7 +208,7 @@
 
     /// Notes what an owner that left had recorded. It counts only for the right
     /// that directly follows that owner's.
-    pub fn inherit(&mut self, seat: Seat, epoch: Epoch, records: Vec<Handed>) {
+    pub fn import(&mut self, seat: Seat, epoch: Epoch, records: Vec<TransferredRecord>) {
         self.inherited.insert(seat, (epoch, records));
     }
 
@@ -263,7 +263,7 @@
     }
 
     /// It did not run: a repeat may.
-    fn clear(&mut self, request: Request, code: Code) -> Vec<Fate> {
+    fn clear(&mut self, request: Request, code: Code) -> Vec<Reply> {
         let Some((record, seat, name)) = self.record(request) else {
             return Vec::new();
         };
@@ -274,7 +274,7 @@
         fates
     }
 
-    fn unknown(&mut self, now: Time, request: Request) -> Vec<Fate> {
+    fn unknown(&mut self, now: Time, request: Request) -> Vec<Reply> {
         let Some((record, ..)) = self.record(request) else {
             return Vec::new();
         };
@@ -283,7 +283,7 @@
         fates
     }
 
-    fn done(&mut self, now: Time, request: Request, whole: Box<Whole>) -> Vec<Fate> {
+    fn done(&mut self, now: Time, request: Request, whole: Box<Whole>) -> Vec<Reply> {
         let size = whole.body.len() + 512;
         let Some((record, seat, name)) = self.record(request) else {
             return Vec::new();
@@ -329,11 +329,11 @@
     }
 }
 
-fn tell(record: &mut Record, answer: &Result<Box<Whole>, Code>) -> Vec<Fate> {
+fn tell(record: &mut Record, answer: &Result<Box<Whole>, Code>) -> Vec<Reply> {
     let State::Running(_, waiting) = &mut record.state else {
         return Vec::new();
     };
-    let fate = |(peer, request)| Fate {
+    let fate = |(peer, request)| Reply {
         peer,
         request,
         answer: answer.clone(),
