--- a/src/request/record.rs
+++ b/src/request/record.rs
@@ -1,10 +1,9 @@
-//! Records of idempotent requests: the same key runs once.
+//! Idempotency records: a request with an idempotency key runs at most once.
 //!
-//! A pool's keys are cut into slices, and each slice is a right that one node
-//! of the pool holds, see [`crate::lease`]. That node records a key before its
-//! request runs, lets repeats wait for the running attempt, and answers later
-//! ones from the record. docs/design/records.md argues why no two nodes ever
-//! run the same key.
+//! A pool's keys are partitioned into slices, and each slice is owned by one node
+//! of the pool, see [`crate::lease`]. The owner records a key before its request
+//! runs, lets repeats wait for the running attempt, and answers later repeats from
+//! the record. docs/design/records.md shows why two nodes never run the same key.
 
 mod owner;
 mod slice;
@@ -39,59 +38,59 @@
     },
 };
 
-/// Slices of a pool's keys. Every node must count alike.
+/// Number of slices of a pool's keys. Must be the same at every node.
 pub const SLICES_PER_POOL: u64 = 4;
 
-/// What a caller's `Idempotency-Key` amounts to.
+/// A caller's `Idempotency-Key` with a checksum of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The caller's key, under its team and pool.
+    /// The caller's key, unique within its team and pool.
     pub key: String,
-    /// A checksum of the method, target and whole body.
+    /// Checksum of the method, target and whole body.
     pub fingerprint: u64,
 }
 
-/// The name of a record within its pool.
+/// Identifies a record within its pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Name {
-    /// The team whose key it is.
+    /// The caller's team.
     pub team: Team,
     /// The caller's key.
     pub key: String,
 }
 
-/// A record as a leaving owner hands it on.
+/// A record that a leaving owner transfers to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredRecord {
-    /// Its name.
+    /// Identifies the record.
     pub name: Name,
-    /// The request that it guards.
+    /// Checksum of the recorded request.
     pub fingerprint: u64,
-    /// The answer, where it ran and the answer is kept.
+    /// The response, if the request ran and its response is still stored.
     pub whole: Option<Whole>,
 }
 
-/// What record owners tell others.
+/// Messages between nodes about record ownership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// That node owns the slice.
+    /// The slice is owned by this other node.
     Elsewhere(Seat, Instance),
-    /// All records of a slice, from the owner that leaves.
+    /// All records of a slice, sent by an owner that is leaving.
     Records(Seat, Epoch, Vec<TransferredRecord>),
 }
 
-/// The slice that a record belongs to.
+/// Returns the slice that a record belongs to.
 pub fn seat_of(pool: &Pool, name: &Name) -> Seat {
-    let text = format!("{} {}", name.team, name.key);
-    slice_seat(pool, xxh3_64(text.as_bytes()) % SLICES_PER_POOL)
+    let qualified_key = format!("{} {}", name.team, name.key);
+    slice_seat(pool, xxh3_64(qualified_key.as_bytes()) % SLICES_PER_POOL)
 }
 
-/// One slice of a pool's keys.
+/// Returns the lease seat of one slice of a pool's keys.
 pub fn slice_seat(pool: &Pool, number: u64) -> Seat {
     Seat(format!("record/{pool}/{number}"))
 }
 
-/// Where an ingress looks for record owners.
+/// Record owners as known to an ingress.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     owners: BTreeMap<Seat, Instance>,
@@ -99,24 +98,25 @@
 }
 
 impl Directory {
-    /// Learns who owns a slice.
+    /// Sets the known owner of a slice.
     pub fn set_owner(&mut self, seat: Seat, owner: Instance) {
         self.owners.insert(seat, owner);
     }
 
-    /// Learns who may own each slice, best first.
+    /// Sets the nodes that may own each slice, most likely first.
     pub fn set_candidates(&mut self, candidates: BTreeMap<Seat, Vec<Instance>>) {
         self.candidates = candidates;
     }
 
-    /// The node to send a claimed request to: the last known owner, else the one
-    /// after the other that may own the slice.
+    /// Returns the node to send a request with an idempotency key to: the last known
+    /// owner, then the candidates in order, skipping nodes in `tried`. If all were
+    /// tried, starts again from the first.
     pub fn find(&self, pool: &Pool, name: &Name, tried: &[Instance]) -> Option<&Instance> {
         let seat = seat_of(pool, name);
         let untried = |instance: &&Instance| !tried.contains(instance);
-        let known = self.owners.get(&seat);
+        let owner = self.owners.get(&seat);
         let candidates = self.candidates.get(&seat).into_iter().flatten();
-        let mut all = known.into_iter().chain(candidates);
-        all.clone().find(untried).or_else(|| all.next())
+        let mut targets = owner.into_iter().chain(candidates);
+        targets.clone().find(untried).or_else(|| targets.next())
     }
 }
--- a/src/request/record/owner.rs
+++ b/src/request/record/owner.rs
@@ -1,4 +1,4 @@
-//! The record owner: what it does with each claimed attempt.
+//! Record owner: decides about each attempt that carries an idempotency key.
 
 use std::collections::{
     BTreeMap,
@@ -19,7 +19,7 @@
     },
     code::{
         Code,
-        Verdict as Ran, //
+        Verdict as CodeVerdict, //
     },
     frame::Whole,
     id::{
@@ -34,109 +34,111 @@
     },
 };
 
-/// Records of a slice at most. Beyond, new keys are refused and not run.
-const RECORDS: usize = 32_768;
-/// Bytes of kept answers at most. Beyond, the oldest are dropped.
-const KEPT: usize = 16 << 20;
-/// The number of the first owner that a slice ever had.
-const FIRST: Epoch = Epoch(2);
+/// Maximum number of records in a slice. If it is reached, requests with new keys
+/// are refused and not run.
+const MAX_RECORDS_PER_SLICE: usize = 32_768;
+/// Maximum total size of stored responses. If it is exceeded, the oldest are dropped.
+const MAX_STORED_BYTES: usize = 16 << 20;
+/// Epoch of the first owner of a slice.
+const FIRST_EPOCH: Epoch = Epoch(2);
 
-/// A claimed attempt.
+/// An attempt that carries an idempotency key.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The slice of its key.
+    /// Slice that the key belongs to.
     pub seat: Seat,
-    /// Its record's name.
+    /// Identifies the record.
     pub name: Name,
-    /// A checksum of the whole request.
+    /// Checksum of the whole request.
     pub fingerprint: u64,
-    /// The attempt's number.
+    /// Identifies the attempt.
     pub request: Request,
-    /// Who sent it.
+    /// Node that sent the attempt.
     pub peer: Instance,
 }
 
-/// What becomes of a claimed attempt.
+/// Decision about an attempt that carries an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is recorded: run it.
+    /// The key is recorded now: run the attempt.
     Run,
-    /// It waits for the attempt that runs.
+    /// Wait for the response of the attempt that is running already.
     Join,
-    /// It ran before, and this is its answer.
+    /// The request ran before and got this response.
     Replay(Box<Whole>),
-    /// It is not run.
+    /// Refuse the attempt without running it.
     Refuse(Code),
 }
 
-/// What an attempt that waited is told.
+/// Reply to an attempt that was waiting for another one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// Who sent it.
+    /// Node that sent the attempt.
     pub peer: Instance,
-    /// The attempt's number.
+    /// Identifies the attempt.
     pub request: Request,
-    /// The answer of the attempt that ran, or why there is none.
+    /// Response of the attempt that ran, or the reason why there is none.
     pub answer: Result<Box<Whole>, Code>,
 }
 
-/// All records that this node keeps.
+/// All records that this node owns.
 #[derive(Clone, Debug, Default)]
 pub struct Owner {
     slices: BTreeMap<Seat, Slice>,
     running: BTreeMap<Request, (Seat, Name)>,
-    fresh: BTreeMap<Request, Box<Whole>>,
-    kept: VecDeque<(Seat, Name, usize)>,
-    bytes: usize,
-    inherited: BTreeMap<Seat, (Epoch, Vec<TransferredRecord>)>,
+    pending_responses: BTreeMap<Request, Box<Whole>>,
+    stored_responses: VecDeque<(Seat, Name, usize)>,
+    stored_bytes: usize,
+    transferred: BTreeMap<Seat, (Epoch, Vec<TransferredRecord>)>,
 }
 
 impl Owner {
-    /// Judges a claimed attempt under a right that holds now. `life` is how long
-    /// records live, `wall` the wall clock in milliseconds, where it is known.
+    /// Decides about an attempt under an ownership that is valid at `now`. Records
+    /// are kept for `retention`. `wall_clock_ms` is the wall clock in milliseconds
+    /// since 1970, if known.
     pub fn handle_arrival(
         &mut self,
         now: Time,
-        right: Ownership,
+        ownership: Ownership,
         arrival: &Arrival,
-        life: Span,
-        wall: Option<u64>,
+        retention: Span,
+        wall_clock_ms: Option<u64>,
     ) -> Verdict {
-        self.open(now, right, &arrival.seat);
+        self.prepare_slice(now, ownership, &arrival.seat);
         let Some(slice) = self.slices.get_mut(&arrival.seat) else {
             return Verdict::Refuse(Code::RecordUnavailable);
         };
         if let Some(record) = slice.records.get_mut(&arrival.name) {
-            return again(record, arrival);
+            return handle_repeat(record, arrival);
         }
-        if !slice.is_new(now, &arrival.name.key, life, wall) {
+        if !slice.is_certainly_new(now, &arrival.name.key, retention, wall_clock_ms) {
             return Verdict::Refuse(Code::RecordLost);
         }
-        if slice.records.len() >= RECORDS {
+        if slice.records.len() >= MAX_RECORDS_PER_SLICE {
             return Verdict::Refuse(Code::RecordUnavailable);
         }
         let record = Record {
             fingerprint: arrival.fingerprint,
             state: State::Running(arrival.request, Vec::new()),
-            at: now,
+            updated: now,
         };
         slice.records.insert(arrival.name.clone(), record);
-        let place = (arrival.seat.clone(), arrival.name.clone());
-        self.running.insert(arrival.request, place);
+        let location = (arrival.seat.clone(), arrival.name.clone());
+        self.running.insert(arrival.request, location);
         Verdict::Run
     }
 
-    /// Whether the attempt is recorded and has not ended.
+    /// Returns whether the attempt is recorded and hasn't ended.
     pub fn is_running(&self, request: Request) -> bool {
         self.running.contains_key(&request)
     }
 
-    /// Whether any recorded attempt has not ended.
+    /// Returns whether any recorded attempt hasn't ended.
     pub fn is_busy(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// Whether the attempt waits for another one's answer.
+    /// Returns whether the attempt is waiting for another one's response.
     pub fn is_waiting(&self, request: Request) -> bool {
         self.running.values().any(|(seat, name)| {
             let record = self.slices.get(seat).and_then(|s| s.records.get(name));
@@ -145,52 +147,58 @@
         })
     }
 
-    /// The whole answer of an attempt is about to end it.
+    /// Stores the complete response of an attempt that is about to end.
     pub fn store_response(&mut self, request: Request, whole: Box<Whole>) {
         if self.running.contains_key(&request) {
-            self.fresh.insert(request, whole);
+            self.pending_responses.insert(request, whole);
         }
     }
 
-    /// The upstream's part of an attempt has ended.
+    /// Handles the end of an attempt at the upstream.
     pub fn ended(&mut self, now: Time, request: Request, end: End) -> Vec<Reply> {
-        let whole = self.fresh.remove(&request);
+        let whole = self.pending_responses.remove(&request);
         match (end, whole) {
-            (End::Refused, _) => self.clear(request, Code::UpstreamRefused),
-            (End::Answered(_), Some(whole)) => self.done(now, request, whole),
-            _ => self.unknown(now, request),
+            (End::Refused, _) => self.remove_not_run(request, Code::UpstreamRefused),
+            (End::Answered(_), Some(whole)) => self.mark_done(now, request, whole),
+            _ => self.mark_unknown(now, request),
         }
     }
 
-    /// The attempt was refused before it began.
+    /// Handles the refusal of an attempt before it started.
     pub fn refused(&mut self, request: Request, code: Code) -> Vec<Reply> {
         match code.verdict() {
-            Ran::NotRun => self.clear(request, code),
-            Ran::Unknown => Vec::new(),
+            CodeVerdict::NotRun => self.remove_not_run(request, code),
+            CodeVerdict::Unknown => Vec::new(),
         }
     }
 
-    /// Forgets records that are older than `life`, and those of attempts that
-    /// were withdrawn before they began, which `holds` does not know.
-    pub fn tick(&mut self, now: Time, life: Span, holds: impl Fn(Request) -> bool) -> Vec<Reply> {
+    /// Removes records older than `retention`, and records of attempts that were
+    /// withdrawn before they started, for which `is_held` returns false.
+    pub fn tick(
+        &mut self,
+        now: Time,
+        retention: Span,
+        is_held: impl Fn(Request) -> bool,
+    ) -> Vec<Reply> {
         for slice in self.slices.values_mut() {
             slice.records.retain(|_, record| {
-                now.since(record.at) < life || matches!(record.state, State::Running(..))
+                now.since(record.updated) < retention || matches!(record.state, State::Running(..))
             });
         }
-        let withdrawn = self.running.keys().copied().filter(|r| !holds(*r));
+        let withdrawn = self.running.keys().copied().filter(|r| !is_held(*r));
         let withdrawn: Vec<Request> = withdrawn.collect();
-        let mut fates = Vec::new();
+        let mut replies = Vec::new();
         for request in withdrawn {
-            fates.extend(self.clear(request, Code::RecordUnavailable));
+            replies.extend(self.remove_not_run(request, Code::RecordUnavailable));
         }
-        fates
+        replies
     }
 
-    /// All records of the slices, for the node that follows an owner which leaves.
+    /// Returns the records of all complete slices, to be transferred to the successor
+    /// when this node leaves.
     pub fn export(&self) -> Vec<(Seat, Epoch, Vec<TransferredRecord>)> {
         let complete = self.slices.iter().filter(|(_, slice)| slice.complete);
-        let handed = |(name, record): (&Name, &Record)| TransferredRecord {
+        let transferred = |(name, record): (&Name, &Record)| TransferredRecord {
             name: name.clone(),
             fingerprint: record.fingerprint,
             whole: match &record.state {
@@ -200,110 +208,116 @@
         };
         complete
             .map(|(seat, slice)| {
-                let records = slice.records.iter().map(handed).collect();
+                let records = slice.records.iter().map(transferred).collect();
                 (seat.clone(), slice.epoch, records)
             })
             .collect()
     }
 
-    /// Notes what an owner that left had recorded. It counts only for the right
+    /// Accepts the records of an owner that left. They are used only by the ownership
     /// that directly follows that owner's.
     pub fn import(&mut self, seat: Seat, epoch: Epoch, records: Vec<TransferredRecord>) {
-        self.inherited.insert(seat, (epoch, records));
+        self.transferred.insert(seat, (epoch, records));
     }
 
-    /// Brings the slice to the right that holds now.
-    fn open(&mut self, now: Time, right: Ownership, seat: &Seat) {
+    /// Updates the slice to the current ownership.
+    fn prepare_slice(&mut self, now: Time, ownership: Ownership, seat: &Seat) {
         let known = self.slices.get_mut(seat);
         match known {
-            Some(slice) if slice.epoch == right.epoch => {}
-            Some(slice) if right.continued_epoch == Some(slice.epoch) => slice.epoch = right.epoch,
-            // Another node may have run keys in between: what was recorded here
-            // is no longer the whole truth.
+            Some(slice) if slice.epoch == ownership.epoch => {}
+            Some(slice) if ownership.continued_epoch == Some(slice.epoch) => {
+                slice.epoch = ownership.epoch
+            }
+            // Another node may have run keys in the meantime, so the records here
+            // are no longer complete.
             _ => {
-                let slice = Slice::new(right.epoch, now, right.epoch == FIRST);
+                let slice = Slice::new(ownership.epoch, now, ownership.epoch == FIRST_EPOCH);
                 self.slices.insert(seat.clone(), slice);
-                self.running.retain(|_, (place, _)| place != seat);
+                self.running
+                    .retain(|_, (running_seat, _)| running_seat != seat);
             }
         }
-        self.adopt(now, seat);
+        self.merge_transferred(now, seat);
     }
 
-    /// Takes in what the owner before handed on, however late it comes.
-    fn adopt(&mut self, now: Time, seat: &Seat) {
+    /// Merges the records transferred by the previous owner, however late they arrive.
+    fn merge_transferred(&mut self, now: Time, seat: &Seat) {
         let Some(slice) = self.slices.get_mut(seat).filter(|slice| !slice.complete) else {
             return;
         };
-        let Some((epoch, records)) = self.inherited.get(seat) else {
+        let Some((epoch, records)) = self.transferred.get(seat) else {
             return;
         };
         if !slice.epoch.directly_follows(*epoch) {
             return;
         }
         slice.complete = true;
-        for handed in records {
-            let state = match &handed.whole {
+        for transferred in records {
+            let state = match &transferred.whole {
                 Some(whole) => State::Done(Box::new(whole.clone())),
                 None => State::Unknown,
             };
             let record = Record {
-                fingerprint: handed.fingerprint,
+                fingerprint: transferred.fingerprint,
                 state,
-                at: now,
+                updated: now,
             };
-            slice.records.entry(handed.name.clone()).or_insert(record);
+            slice
+                .records
+                .entry(transferred.name.clone())
+                .or_insert(record);
         }
-        self.inherited.remove(seat);
+        self.transferred.remove(seat);
     }
 
-    fn record(&mut self, request: Request) -> Option<(&mut Record, Seat, Name)> {
+    fn take_running(&mut self, request: Request) -> Option<(&mut Record, Seat, Name)> {
         let (seat, name) = self.running.remove(&request)?;
         let record = self.slices.get_mut(&seat)?.records.get_mut(&name)?;
         Some((record, seat, name))
     }
 
-    /// It did not run: a repeat may.
-    fn clear(&mut self, request: Request, code: Code) -> Vec<Reply> {
-        let Some((record, seat, name)) = self.record(request) else {
+    /// Removes the record of an attempt that didn't run, so that a repeat can run.
+    fn remove_not_run(&mut self, request: Request, code: Code) -> Vec<Reply> {
+        let Some((record, seat, name)) = self.take_running(request) else {
             return Vec::new();
         };
-        let fates = tell(record, &Err(code));
+        let replies = notify_waiting(record, &Err(code));
         if let Some(slice) = self.slices.get_mut(&seat) {
             slice.records.remove(&name);
         }
-        fates
+        replies
     }
 
-    fn unknown(&mut self, now: Time, request: Request) -> Vec<Reply> {
-        let Some((record, ..)) = self.record(request) else {
+    fn mark_unknown(&mut self, now: Time, request: Request) -> Vec<Reply> {
+        let Some((record, ..)) = self.take_running(request) else {
             return Vec::new();
         };
-        let fates = tell(record, &Err(Code::RecordUnknown));
-        (record.state, record.at) = (State::Unknown, now);
-        fates
+        let replies = notify_waiting(record, &Err(Code::RecordUnknown));
+        (record.state, record.updated) = (State::Unknown, now);
+        replies
     }
 
-    fn done(&mut self, now: Time, request: Request, whole: Box<Whole>) -> Vec<Reply> {
+    fn mark_done(&mut self, now: Time, request: Request, whole: Box<Whole>) -> Vec<Reply> {
         let size = whole.body.len() + 512;
-        let Some((record, seat, name)) = self.record(request) else {
+        let Some((record, seat, name)) = self.take_running(request) else {
             return Vec::new();
         };
-        let fates = tell(record, &Ok(whole.clone()));
-        (record.state, record.at) = (State::Done(whole), now);
-        self.kept.push_back((seat, name, size));
-        self.bytes += size;
-        while self.bytes > KEPT {
+        let replies = notify_waiting(record, &Ok(whole.clone()));
+        (record.state, record.updated) = (State::Done(whole), now);
+        self.stored_responses.push_back((seat, name, size));
+        self.stored_bytes += size;
+        while self.stored_bytes > MAX_STORED_BYTES {
             self.drop_oldest();
         }
-        fates
+        replies
     }
 
     fn drop_oldest(&mut self) {
-        let Some((seat, name, size)) = self.kept.pop_front() else {
-            self.bytes = 0;
+        let Some((seat, name, size)) = self.stored_responses.pop_front() else {
+            self.stored_bytes = 0;
             return;
         };
-        self.bytes = self.bytes.saturating_sub(size);
+        self.stored_bytes = self.stored_bytes.saturating_sub(size);
         let slice = self.slices.get_mut(&seat);
         if let Some(record) = slice.and_then(|slice| slice.records.get_mut(&name))
             && matches!(record.state, State::Done(_))
@@ -313,8 +327,8 @@
     }
 }
 
-/// An attempt under a key that is recorded.
-fn again(record: &mut Record, arrival: &Arrival) -> Verdict {
+/// Decides about an attempt whose key is already recorded.
+fn handle_repeat(record: &mut Record, arrival: &Arrival) -> Verdict {
     if record.fingerprint != arrival.fingerprint {
         return Verdict::Refuse(Code::KeyReused);
     }
@@ -329,14 +343,14 @@
     }
 }
 
-fn tell(record: &mut Record, answer: &Result<Box<Whole>, Code>) -> Vec<Reply> {
+fn notify_waiting(record: &mut Record, answer: &Result<Box<Whole>, Code>) -> Vec<Reply> {
     let State::Running(_, waiting) = &mut record.state else {
         return Vec::new();
     };
-    let fate = |(peer, request)| Reply {
+    let reply = |(peer, request)| Reply {
         peer,
         request,
         answer: answer.clone(),
     };
-    waiting.drain(..).map(fate).collect()
+    waiting.drain(..).map(reply).collect()
 }
--- a/src/request/record/slice.rs
+++ b/src/request/record/slice.rs
@@ -1,4 +1,4 @@
-//! The records of one slice under one right.
+//! Records of one slice under one ownership.
 
 use std::collections::BTreeMap;
 
@@ -16,71 +16,78 @@
     lease::Epoch,
 };
 
-/// Clocks of callers and nodes differ by less than this.
-const MARGIN: u64 = 60_000;
+/// Upper bound on the difference between the clocks of callers and nodes.
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
-/// Where a recorded request stands.
+/// State of a recorded request.
 #[derive(Clone, Debug)]
 pub(super) enum State {
-    /// This attempt runs or is about to; these wait for its answer.
+    /// This attempt is running or about to run; the listed attempts wait for its
+    /// response.
     Running(Request, Vec<(Instance, Request)>),
-    /// It ran, and this is its answer.
+    /// The request ran and got this response.
     Done(Box<Whole>),
-    /// It may have run, or ran and its answer is not kept.
+    /// The request may have run, or ran and its response is no longer stored.
     Unknown,
 }
 
-/// One record.
+/// Record of one idempotency key.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) fingerprint: u64,
     pub(super) state: State,
-    pub(super) at: Time,
+    pub(super) updated: Time,
 }
 
-/// The records of one slice under one right.
+/// Records of one slice under one ownership.
 #[derive(Clone, Debug)]
 pub struct Slice {
     pub(super) epoch: Epoch,
-    pub(super) since: Time,
-    /// Every record of the slice is here, as far back as records live.
+    pub(super) owned_since: Time,
+    /// Whether all records of the slice within the retention time are present.
     pub(super) complete: bool,
     pub(super) records: BTreeMap<Name, Record>,
 }
 
 impl Slice {
-    pub(super) fn new(epoch: Epoch, since: Time, complete: bool) -> Self {
+    pub(super) fn new(epoch: Epoch, owned_since: Time, complete: bool) -> Self {
         Self {
             epoch,
-            since,
+            owned_since,
             complete,
             records: BTreeMap::new(),
         }
     }
 
-    /// Whether a key that is not recorded has certainly not run.
+    /// Returns whether a key without a record has certainly not run.
     ///
-    /// After an unplanned change of owner, what the owner before had recorded is
-    /// lost. Until all of that would have been forgotten anyway, only a key whose
-    /// own time lies after the change is known to be new.
-    pub(super) fn is_new(&self, now: Time, key: &str, life: Span, wall: Option<u64>) -> bool {
-        if self.complete || now.since(self.since) > life {
+    /// After an unplanned change of owner, the records of the previous owner are lost.
+    /// Until all of them would have expired anyway, a key is known to be new only if
+    /// its own timestamp is later than the change.
+    pub(super) fn is_certainly_new(
+        &self,
+        now: Time,
+        key: &str,
+        retention: Span,
+        wall_clock_ms: Option<u64>,
+    ) -> bool {
+        if self.complete || now.since(self.owned_since) > retention {
             return true;
         }
-        let (Some(wall), Some(born)) = (wall, born(key)) else {
+        let (Some(wall_clock_ms), Some(created)) = (wall_clock_ms, uuid_timestamp(key)) else {
             return false;
         };
-        let takeover = wall.saturating_sub(now.since(self.since).as_ms());
-        born > takeover + MARGIN && born <= wall + MARGIN
+        let takeover = wall_clock_ms.saturating_sub(now.since(self.owned_since).as_ms());
+        created > takeover + MAX_CLOCK_SKEW_MS && created <= wall_clock_ms + MAX_CLOCK_SKEW_MS
     }
 }
 
-/// The time within a UUID of version 7, in milliseconds since 1970.
-fn born(key: &str) -> Option<u64> {
+/// Returns the timestamp of a version 7 UUID, in milliseconds since 1970.
+fn uuid_timestamp(key: &str) -> Option<u64> {
     let digits: String = key.split('-').collect();
     let lengths = key.split('-').map(str::len);
-    let hex = digits.chars().all(|c| c.is_ascii_hexdigit());
-    if !hex || !lengths.eq([8, 4, 4, 4, 12]) || digits.as_bytes()[12] != b'7' {
+    let is_hex = digits.chars().all(|c| c.is_ascii_hexdigit());
+    if !is_hex || !lengths.eq([8, 4, 4, 4, 12]) || digits.as_bytes()[12] != b'7' {
         return None;
     }
     u64::from_str_radix(&digits[..12], 16).ok()
