--- a/src/request/ingress.rs
+++ b/src/request/ingress.rs
@@ -48,7 +48,7 @@
     policy::Policy,
     quota::{
         Holder,
-        bank::Waiting, //
+        bank::WaitingCounts, //
     },
     record::{
         Claim,
@@ -246,7 +246,7 @@
     }
 
     /// Returns the number of calls of each team that wait for a rate token.
-    pub fn waiting_for_tokens(&self) -> BTreeMap<id::Team, Waiting> {
+    pub fn waiting_for_tokens(&self) -> BTreeMap<id::Team, WaitingCounts> {
         let teams = self.token_queues.iter();
         teams
             .map(|(team, queue)| (team.clone(), queue.waiting()))
--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -26,7 +26,7 @@
         Importance, //
     },
     id,
-    inbound::Made,
+    inbound::OutgoingCall,
     metric::Counter,
     policy::{
         Admission,
@@ -99,7 +99,7 @@
             .left
             .map_or(context.left, |left| left.min(context.left));
         if let Some(parent) = context.parent {
-            env.proxy.calls(parent, &route.name);
+            env.proxy.record_call(parent, &route.name);
             self.nested_calls
                 .entry(parent)
                 .or_default()
@@ -166,7 +166,7 @@
     /// Creates the context of a call on a keyless route, which is for calls between
     /// services. Such a call doesn't name the request that caused it, but work has
     /// started for one, and refusing the call would waste that work. It inherits
-    /// root, importance and age of the request that most likely made it, so that
+    /// root, importance and age of the request that most likely outgoing_call it, so that
     /// the calls of one request are served or shed together. Without such a request
     /// it takes precedence over all other calls.
     fn keyless_context(
@@ -184,12 +184,13 @@
         if !env.policy.attribution {
             return (None, context);
         }
-        let made = Made {
+        let outgoing_call = OutgoingCall {
             route: &route.name,
             left: arrival.left,
             connection: arrival.connection,
         };
-        let Some((request, attributed)) = env.proxy.caller(now, made, env.levels) else {
+        let Some((request, attributed)) = env.proxy.attribute_call(now, outgoing_call, env.levels)
+        else {
             env.counts.add(Counter::Unattributed);
             return (None, context);
         };
@@ -244,7 +245,7 @@
             let Some(call) = self.calls.get_mut(&call_id) else {
                 return;
             };
-            match charge_result(env.quota.take_beside(now, &team, importance, others)) {
+            match charge_result(env.quota.take_with_waiting(now, &team, importance, others)) {
                 Ok(Some(grant)) => call.grant = Some(grant),
                 Ok(None) if now < until => {
                     let queue = self.token_queues.entry(team).or_default();
@@ -252,7 +253,7 @@
                     return self.set_timer(call_id, until);
                 }
                 Ok(None) => {
-                    let code = match env.quota.is_over(now, &call.context.team) {
+                    let code = match env.quota.is_over_rate(now, &call.context.team) {
                         true => Code::RateExceeded,
                         false => Code::RateUnavailable,
                     };
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -59,7 +59,7 @@
         // Once an attempt may have started, the token is spent and its expiry no
         // longer matters.
         let unspent_grant = call.grant.filter(|_| call.may_have_run.is_none());
-        let left = unspent_grant.map(|grant| env.quota.left(now, &call.context.team, grant));
+        let left = unspent_grant.map(|grant| env.quota.time_left(now, &call.context.team, grant));
         if left == Some(None) {
             return self.recharge(now, call_id, env, out);
         }
@@ -107,7 +107,7 @@
         let reserved_retries = match env.policy.retry_limit {
             RetryLimit::PerHop(_) => 0,
             RetryLimit::Allowance => call
-                .allowance(env.proxy.purses())
+                .allowance(env.proxy.allowances())
                 .map_or(0, |p| p.reserve()),
         };
         self.last_sequence += 1;
@@ -118,7 +118,7 @@
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
         self.balancer.record_sent(now, &peer);
-        if let Some(hint) = self.hints.due(now, &peer, life) {
+        if let Some(hint) = self.hints.pending(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
         out.push(Action::Send {
@@ -133,7 +133,7 @@
                 allowance: reserved_retries,
                 begin: left
                     .flatten()
-                    .map(|left| env.quota.begin(now, &peer, life, left)),
+                    .map(|left| env.quota.begin_deadline(now, &peer, life, left)),
                 ..call.context.clone()
             },
             claim: call.claim.clone(),
@@ -165,7 +165,7 @@
         env: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        self.hints.note(now, peer, report.life, report.hint, true);
+        self.hints.record(now, peer, report.life, report.hint, true);
         let Some(call_id) = self.process_report(now, peer, request, &report, env) else {
             return;
         };
@@ -179,7 +179,7 @@
             return;
         }
         if let Some(grant) = call.grant.take() {
-            env.quota.begun(&call.context.team, grant);
+            env.quota.mark_begun(&call.context.team, grant);
         }
         self.release_unspent(request, report.spent, env);
         if retry::is_failure(status) {
@@ -547,7 +547,7 @@
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
-        let Some(allowance) = call.allowance(env.proxy.purses()) else {
+        let Some(allowance) = call.allowance(env.proxy.allowances()) else {
             return false;
         };
         let has_allowance = allowance.remaining() > 0 && !no_retry;
--- a/src/request/ingress/call.rs
+++ b/src/request/ingress/call.rs
@@ -23,7 +23,7 @@
     id,
     quota::{
         Charge,
-        bank::Waiting, //
+        bank::WaitingCounts, //
     },
     record::Claim, //
 };
@@ -148,7 +148,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct TokenQueue {
     calls: BTreeSet<(Reverse<Importance>, id::Call)>,
-    waiting: Waiting,
+    waiting: WaitingCounts,
 }
 
 impl TokenQueue {
@@ -177,7 +177,7 @@
     }
 
     /// Returns the number of queued calls by importance, without this call.
-    pub fn waiting_besides(&self, importance: Importance, call: id::Call) -> Waiting {
+    pub fn waiting_besides(&self, importance: Importance, call: id::Call) -> WaitingCounts {
         let mut waiting = self.waiting;
         if self.calls.contains(&(Reverse(importance), call)) {
             waiting.remove(importance);
@@ -186,7 +186,7 @@
     }
 
     /// Returns the number of queued calls by importance.
-    pub fn waiting(&self) -> Waiting {
+    pub fn waiting(&self) -> WaitingCounts {
         self.waiting
     }
 }
--- a/src/request/ingress/end.rs
+++ b/src/request/ingress/end.rs
@@ -75,7 +75,7 @@
             target: call.target,
             service_time: Span::from_ms(usual as u64),
             earliest: match code {
-                Code::RateExceeded => env.quota.wait(now, &call.context.team),
+                Code::RateExceeded => env.quota.time_until_token(now, &call.context.team),
                 _ => Span::ZERO,
             },
         };
@@ -94,10 +94,10 @@
             return;
         };
         if call.context.key.is_none() && call.context.parent.is_none() {
-            env.proxy.call_failed(now);
+            env.proxy.record_call_failure(now);
         }
         if let Some(parent) = call.context.parent
-            && let Some(allowance) = env.proxy.purses().get_mut(&parent)
+            && let Some(allowance) = env.proxy.allowances().get_mut(&parent)
         {
             allowance.no_retry = true;
         }
@@ -193,9 +193,11 @@
         report: &Report,
         env: &mut Environment<'_>,
     ) -> Option<id::Call> {
-        self.hints.note(now, peer, report.life, report.hint, false);
+        self.hints
+            .record(now, peer, report.life, report.hint, false);
         self.balancer.record_report(now, peer, report);
-        env.quota.heard(now, peer, report.life, report.clock);
+        env.quota
+            .record_peer_clock(now, peer, report.life, report.clock);
         let attempt = self.attempts.get(&request);
         let Some(attempt) = attempt.filter(|attempt| attempt.peer == *peer) else {
             env.counts.add(Counter::Late);
@@ -243,7 +245,7 @@
         };
         let reserved_retries = std::mem::take(&mut attempt.reserved_retries);
         let call = self.calls.get_mut(&attempt.call);
-        if let Some(allowance) = call.and_then(|call| call.allowance(env.proxy.purses())) {
+        if let Some(allowance) = call.and_then(|call| call.allowance(env.proxy.allowances())) {
             allowance.release(reserved_retries, spent);
         }
     }
@@ -272,7 +274,8 @@
             return;
         };
         if let Some(attributed_to) = call.attributed_to {
-            env.proxy.returned(now, attributed_to, call.connection);
+            env.proxy
+                .record_call_answered(now, attributed_to, call.connection);
         }
         self.timers.remove(&(call.timer, call_id));
         if let Some(parent) = call.context.parent
