--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StoreCaller {
     Gossip,
-    Listed,
+    Discovery,
     Rights,
 }
 
@@ -268,7 +268,7 @@
     snapshot: document::Shared,
     members: member::Table,
     gossip: fleet::Gossip,
-    listed: Option<listed::Listed>,
+    discovery: Option<listed::Discovery>,
     quota: Holder,
     rights: rights::Rights,
     router: ingress::Router,
@@ -294,7 +294,7 @@
                 identity.peer.instance.clone(),
                 identity.seed.wrapping_add(2),
             ),
-            listed: None,
+            discovery: None,
             quota: Holder::new(identity.peer.instance.clone(), identity.peer.incarnation),
             rights: rights::Rights::new(
                 identity.peer.instance.clone(),
@@ -375,12 +375,12 @@
     /// [`Event::Tick`].
     pub fn due(&self) -> Time {
         let requests = self.router.due().min(self.proxy.due());
-        requests.min(self.listed_due())
+        requests.min(self.discovery_due())
     }
 
     /// Handles one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        if self.listed.is_none() {
+        if self.discovery.is_none() {
             self.gossip_advance_clock(now);
         }
         match event {
@@ -392,12 +392,12 @@
             }
             Event::OutboundLinkLost(peer) => {
                 self.run_router(now, ingress::Event::Broken(peer.clone()), out);
-                match self.listed.is_some() {
-                    true => self.listed_broken(now, &peer),
+                match self.discovery.is_some() {
+                    true => self.discovery_link_lost(now, &peer),
                     false => self.gossip_link_lost(now, &peer, out),
                 }
             }
-            Event::OutboundLinkOpened(peer) => self.listed_linked(&peer),
+            Event::OutboundLinkOpened(peer) => self.discovery_link_opened(&peer),
             Event::InboundLinkLost(peer) => self.run_proxy(now, inbound::Event::Broken(peer), out),
             Event::AnswerCaptured(request, whole) => self.record_kept(request, whole),
             Event::AttemptEnded(request, end) => {
@@ -427,7 +427,9 @@
             Event::Datagram(from, message) => self.on_message(now, Some(from), message, out),
             Event::StoreAnswer(number, answer) => match self.pending_store_calls.remove(&number) {
                 Some(StoreCaller::Gossip) => self.gossip_store_answer(now, number, answer, out),
-                Some(StoreCaller::Listed) => self.listed_store(now, number, answer, out),
+                Some(StoreCaller::Discovery) => {
+                    self.discovery_store_answer(now, number, answer, out)
+                }
                 Some(StoreCaller::Rights) => self.rights_store(now, number, answer, out),
                 None => {}
             },
@@ -435,8 +437,8 @@
             Event::Drain => {
                 self.draining.get_or_insert(now);
                 self.run_proxy(now, inbound::Event::Drain, out);
-                if self.listed.is_some() {
-                    return self.listed_drain(now);
+                if self.discovery.is_some() {
+                    return self.discovery_drain(now);
                 }
                 self.gossip_drain(now, out);
                 self.rights_drain(now, out);
@@ -458,8 +460,8 @@
 
     /// Announces to the other nodes whether the upstream accepts requests.
     fn announce_readiness(&mut self, now: Time, ready: bool) {
-        match self.listed.is_some() {
-            true => self.listed_ready(now, ready),
+        match self.discovery.is_some() {
+            true => self.discovery_set_ready(now, ready),
             false => self.gossip_set_ready(now, ready),
         }
     }
@@ -468,9 +470,9 @@
         self.run_router(now, ingress::Event::Tick, out);
         self.run_proxy(now, inbound::Event::Tick, out);
         let idle = self.router.is_empty() && self.proxy.is_empty();
-        if self.listed.is_some() {
-            self.listed_tick(now, out);
-            if self.draining.is_some() && idle && self.listed_left(now) {
+        if self.discovery.is_some() {
+            self.discovery_tick(now, out);
+            if self.draining.is_some() && idle && self.discovery_finish_leaving(now) {
                 out.push(Action::Stop);
             }
             return;
@@ -490,7 +492,7 @@
     /// that the node is leaving only from their next answer. After that they are
     /// refused immediately and can use any other node.
     fn leaving_refusal(&self, now: Time, origin: &Origin) -> Option<Code> {
-        if self.listed.is_some() {
+        if self.discovery.is_some() {
             // The platform stops sending callers once the readiness endpoint
             // reports not ready; calls that still arrive are served.
             return None;
@@ -502,8 +504,8 @@
 
     fn on_call(&mut self, now: Time, call: Call, out: &mut Vec<Action>) {
         let leaving_refusal = self.leaving_refusal(now, &call.origin);
-        let refusal = match self.listed.is_some() {
-            true => self.listed_refusal(),
+        let refusal = match self.discovery.is_some() {
+            true => self.discovery_refusal(),
             false => self.gossip_refusal(now, &call.origin),
         };
         if let Some(code) = leaving_refusal.or(refusal) {
@@ -667,8 +669,8 @@
         let mut actions = Vec::new();
         self.router.on(now, event, &mut world, &mut actions);
         out.extend(actions.into_iter().map(Action::from));
-        match self.listed.is_some() {
-            true => self.send_tokens(out),
+        match self.discovery.is_some() {
+            true => self.send_bank_messages(out),
             false => self.rights_send(now, out),
         }
     }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -1,5 +1,5 @@
-//! A node among others that the store lists: members, configuration and rates
-//! without gossip, leases of rights or records.
+//! Discovery through the store: nodes find members and configuration in the store
+//! and share rates without gossip, seat leases or idempotency records.
 
 mod inquiry;
 mod tokens;
@@ -52,31 +52,34 @@
     warmup, //
 };
 
-/// The time between two looks at what follows from the members.
-const REFRESH: Span = Span::from_ms(100);
-/// How long a leaving node still serves callers, at least: the platform asks
-/// twice, a second apart, before it sends them elsewhere.
+/// Interval at which the state derived from the members is recomputed.
+const REFRESH_INTERVAL: Span = Span::from_ms(100);
+/// Minimum time that a leaving node keeps serving callers: the platform checks
+/// readiness twice, one second apart, before it routes callers elsewhere.
 const MIN_DRAIN: Span = Span::from_ms(3000);
-/// How long a leaving node waits for the store to take its record out.
+/// How long a leaving node waits for the store to delete its record.
 const DEREGISTER_TIMEOUT: Span = Span::from_ms(400);
-/// The time between two tries to reach a member again, at first and at most.
+/// First and longest delay between attempts to reconnect to a member.
 const FIRST_RECONNECT_BACKOFF: Span = Span::from_ms(200);
 const MAX_RECONNECT_BACKOFF: Span = Span::from_secs(2);
 
-/// Bounds that the fleet's operators set for all nodes together.
+/// Limits that operators set for the fleet as a whole.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The age of the last confirmation from which on keys are not accepted.
+    /// API keys are rejected once the last confirmation of the configuration is
+    /// older than this.
     pub stale_after: Span,
-    /// The age from which on callers are better sent elsewhere.
+    /// The node reports that it is not ready for callers once the last
+    /// confirmation is older than this.
     pub unready_after: Span,
-    /// Retries for each first try at one pool, over the fleet.
+    /// Retries allowed per first attempt at one pool, over the whole fleet.
     pub retry_ratio: f64,
-    /// Retries at one pool that are free in a window, over the fleet.
+    /// Retries at one pool allowed per window in addition to the ratio, over the
+    /// whole fleet.
     pub retry_slack: f64,
-    /// That window.
+    /// The window of `retry_slack`.
     pub retry_window: Span,
-    /// Requests that a cold upstream may get beyond its rate.
+    /// How far the requests sent to a cold upstream may exceed its rate.
     pub cold_excess: warmup::Bound,
 }
 
@@ -93,19 +96,22 @@
     }
 }
 
-/// The share of the bound on the ratio that nodes use, and for how long ahead it
-/// may be saved: a fifth of the window more, so that both together stay within.
-const RATIO_SHARE: f64 = 0.8;
-const AHEAD_SHARE: f64 = 0.2;
-/// The shares of the slack that come evenly, and that may be saved.
-const FLOOR_SHARE: f64 = 0.4;
-const SAVED_SHARE: f64 = 0.4;
-/// The part of the saved retries that only critical requests and calls use.
-const RESERVE: f64 = 0.5;
-
-/// A call to the store that has no answer yet.
+/// The share of the allowed retry ratio that nodes use. Retries may in addition
+/// be accumulated over a fifth of the window, so that both together stay within
+/// the bound.
+const RETRY_RATIO_SHARE: f64 = 0.8;
+const RETRY_AHEAD_SHARE: f64 = 0.2;
+/// The share of the slack that is granted at a constant rate, and the share that
+/// may be accumulated.
+const RETRY_FLOOR_SHARE: f64 = 0.4;
+const RETRY_SAVED_SHARE: f64 = 0.4;
+/// The share of the accumulated retries that is reserved for critical requests
+/// and calls.
+const CRITICAL_RETRY_SHARE: f64 = 0.5;
+
+/// A store call that is waiting for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Task {
+enum PendingCall {
     Register,
     Follow {
         topic: Topic,
@@ -114,250 +120,269 @@
     },
 }
 
-/// A member that cannot be reached.
+/// Reconnect state of an unreachable member.
 #[derive(Clone, Copy, Debug)]
 struct Reconnect {
     next: Time,
     backoff: Span,
 }
 
-/// Watchers of a domain in the order in which the others ask them.
+/// Number of watcher candidates of a domain; other nodes ask them in rank order.
 const WATCHER_CANDIDATES: usize = 3;
-/// Purpose of the choice of watchers.
+/// Rendezvous-hash seed for the selection of watchers.
 const WATCHER_HASH_SEED: u64 = 0x3a7c;
 
-/// How long a node that begins waits for others of its domain to be listed.
-/// Without them it watches the store itself, so a fleet that begins together
-/// would ask it in everybody's name.
-const START_DELAY: Span = Span::from_ms(400);
+/// How long a starting node waits for other members of its domain to appear in
+/// the listing. Without them it watches the store itself, so in a fleet that
+/// starts all at once every node would query the store.
+const WATCH_START_DELAY: Span = Span::from_ms(400);
 
-/// What a listed node keeps.
+/// State of discovery through the store.
 #[derive(Debug)]
-pub(super) struct Listed {
+pub(super) struct Discovery {
     bounds: Bounds,
     directory: Directory,
     follower: Follower,
-    asked: BTreeMap<u64, Task>,
-    begun: Option<Time>,
-    /// This node has lived before, so others are listed already.
-    restarted: bool,
+    pending_calls: BTreeMap<u64, PendingCall>,
+    started_at: Option<Time>,
+    /// Whether this node ran before, so that other members are already listed.
+    is_restarted: bool,
     watcher: Watcher,
     subscriber: Subscriber,
-    /// The watchers of this domain, best first.
+    /// The watchers of this domain, highest rank first.
     watchers: Vec<Instance>,
-    /// Who was asked last for what the store holds; nobody for the store itself.
+    /// The watcher that was asked last, or `None` if the store itself was.
     source: Option<Instance>,
-    away: BTreeMap<Instance, Reconnect>,
-    next: Time,
-    leaving: Option<Time>,
-    left: Option<Time>,
-    stale: bool,
+    unreachable: BTreeMap<Instance, Reconnect>,
+    next_refresh: Time,
+    leaving_since: Option<Time>,
+    deregistering_since: Option<Time>,
+    is_stale: bool,
 }
 
-impl Listed {
-    /// Whether others of this domain may be listed at any moment.
-    fn is_early(&self, now: Time) -> bool {
-        let begun = self.begun.unwrap_or(now);
-        self.watchers.len() <= 1 && !self.restarted && now.since(begun) < START_DELAY
+impl Discovery {
+    /// Whether other members of this domain may still appear in the listing
+    /// shortly after the start.
+    fn awaits_first_members(&self, now: Time) -> bool {
+        let started_at = self.started_at.unwrap_or(now);
+        self.watchers.len() <= 1 && !self.is_restarted && now.since(started_at) < WATCH_START_DELAY
     }
 }
 
 impl Core {
-    /// Finds members and configuration in the store, from the beginning of the
-    /// node on, and shares rates without owners.
+    /// Enables discovery of members and configuration through the store, and rate
+    /// sharing without quota owners. Must be called when the node starts.
     pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
         self.quota.lend(Bank::new(self.identity.peer.clone()));
         self.proxy.bound_cold(bounds.cold_excess);
-        self.listed = Some(Listed {
+        self.discovery = Some(Discovery {
             bounds,
             directory: Directory::new(self.identity.peer.clone()),
             follower: Follower::new(source),
-            asked: BTreeMap::new(),
-            begun: None,
-            restarted: false,
+            pending_calls: BTreeMap::new(),
+            started_at: None,
+            is_restarted: false,
             watcher: Watcher::default(),
             subscriber: Subscriber::default(),
             watchers: Vec::new(),
             source: None,
-            away: BTreeMap::new(),
-            next: Time::ZERO,
-            leaving: None,
-            left: None,
-            stale: false,
+            unreachable: BTreeMap::new(),
+            next_refresh: Time::ZERO,
+            leaving_since: None,
+            deregistering_since: None,
+            is_stale: false,
         });
     }
 
-    /// Tells that the store had a record of a former life of this node.
+    /// Records that the store held a record of a previous run of this node.
     pub fn mark_restarted(&mut self) {
-        if let Some(listed) = &mut self.listed {
-            listed.restarted = true;
+        if let Some(discovery) = &mut self.discovery {
+            discovery.is_restarted = true;
         }
     }
 
-    /// Goes by other bounds from now on.
+    /// Replaces the bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.proxy.bound_cold(bounds.cold_excess);
-        if let Some(listed) = &mut self.listed {
-            listed.bounds = bounds;
+        if let Some(discovery) = &mut self.discovery {
+            discovery.bounds = bounds;
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether callers may be routed to this node.
     pub fn is_ready(&self, now: Time) -> bool {
-        let Some(listed) = &self.listed else {
+        let Some(discovery) = &self.discovery else {
             return self.draining.is_none();
         };
-        let age = listed.follower.age(now);
-        let fresh = age.is_some_and(|age| age <= listed.bounds.unready_after);
-        self.draining.is_none() && self.snapshot.version != Version(0) && fresh
+        let age = discovery.follower.age(now);
+        let is_fresh = age.is_some_and(|age| age <= discovery.bounds.unready_after);
+        self.draining.is_none() && self.snapshot.version != Version(0) && is_fresh
     }
 
-    /// The time since the version in force was certainly the newest.
+    /// Returns the time since the version in effect was last known to be the
+    /// newest.
     pub fn discovered_config_age(&self, now: Time) -> Option<Span> {
-        self.listed.as_ref()?.follower.age(now)
+        self.discovery.as_ref()?.follower.age(now)
     }
 
-    /// Whether a withdrawn key might not be known as such.
+    /// Returns whether the configuration is so old that a key withdrawn since may
+    /// not be known here.
     pub(super) fn is_stale(&self, now: Time) -> bool {
-        self.listed.as_ref().is_some_and(|listed| {
-            let age = listed.follower.age(now);
-            age.is_none_or(|age| age > listed.bounds.stale_after)
+        self.discovery.as_ref().is_some_and(|discovery| {
+            let age = discovery.follower.age(now);
+            age.is_none_or(|age| age > discovery.bounds.stale_after)
         })
     }
 
-    /// Whether the stop of this node is so near that no new call may begin. The
-    /// platform has stopped sending callers long before.
+    /// Returns whether this node is about to stop and accepts no new calls. The
+    /// platform has stopped routing callers to it well before.
     pub(super) fn is_closing(&self, now: Time) -> bool {
-        let leaving = self.listed.as_ref().and_then(|listed| listed.leaving);
+        let leaving = self
+            .discovery
+            .as_ref()
+            .and_then(|discovery| discovery.leaving_since);
         leaving.is_some_and(|since| now.since(since) >= MIN_DRAIN)
     }
 
-    pub(super) fn listed_refusal(&self) -> Option<Code> {
+    pub(super) fn discovery_refusal(&self) -> Option<Code> {
         (self.snapshot.version == Version(0)).then_some(Code::ConfigAbsent)
     }
 
-    /// When the listing has something to do.
-    pub(super) fn listed_due(&self) -> Time {
-        let Some(listed) = &self.listed else {
+    /// Returns when discovery next needs a tick.
+    pub(super) fn discovery_due(&self) -> Time {
+        let Some(discovery) = &self.discovery else {
             return Time::NEVER;
         };
-        let calls = listed.directory.due().min(listed.follower.due());
-        let calls = calls.min(listed.subscriber.due());
-        let away = listed.away.values().map(|away| away.next).min();
-        calls.min(listed.next).min(away.unwrap_or(Time::NEVER))
+        let calls = discovery.directory.due().min(discovery.follower.due());
+        let calls = calls.min(discovery.subscriber.due());
+        let next_dial = discovery.unreachable.values().map(|peer| peer.next).min();
+        calls
+            .min(discovery.next_refresh)
+            .min(next_dial.unwrap_or(Time::NEVER))
     }
 
-    pub(super) fn listed_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some(mut listed) = self.listed.take() else {
+    pub(super) fn discovery_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(mut discovery) = self.discovery.take() else {
             return;
         };
         let mut calls = Vec::new();
-        let gone = listed.directory.tick(now, &mut calls);
+        let removed = discovery.directory.tick(now, &mut calls);
         for (purpose, call) in calls {
             match purpose {
                 Purpose::Register => {
-                    let number = self.call_store(StoreCaller::Listed, call, out);
-                    listed.asked.insert(number, Task::Register);
+                    let number = self.call_store(StoreCaller::Discovery, call, out);
+                    discovery
+                        .pending_calls
+                        .insert(number, PendingCall::Register);
                 }
-                Purpose::Watch => listed.subscriber.request(Topic::Members, call.after()),
+                Purpose::Watch => discovery.subscriber.request(Topic::Members, call.after()),
             }
         }
-        listed.begun.get_or_insert(now);
-        // Members come first: they tell whom to ask for the rest.
-        if listed.directory.has_listing()
-            && let Some(call) = listed.follower.tick(now)
+        discovery.started_at.get_or_insert(now);
+        // The members come first: the watcher to ask for the configuration is
+        // chosen among them.
+        if discovery.directory.has_listing()
+            && let Some(call) = discovery.follower.tick(now)
         {
             let topic = Topic::Configuration;
-            listed.subscriber.request(topic, call.after());
+            discovery.subscriber.request(topic, call.after());
         }
-        self.inquire(now, &mut listed, out);
-        for (peer, away) in &mut listed.away {
-            if now >= away.next {
-                away.next = now + away.backoff;
-                away.backoff = Span::from_ms(away.backoff.as_ms() * 2).min(MAX_RECONNECT_BACKOFF);
+        self.query_watcher_or_store(now, &mut discovery, out);
+        for (peer, reconnect) in &mut discovery.unreachable {
+            if now >= reconnect.next {
+                reconnect.next = now + reconnect.backoff;
+                reconnect.backoff =
+                    Span::from_ms(reconnect.backoff.as_ms() * 2).min(MAX_RECONNECT_BACKOFF);
                 out.push(Action::Dial(peer.clone()));
             }
         }
-        let refresh = now >= listed.next;
+        let refresh = now >= discovery.next_refresh;
         if refresh {
-            listed.next = now + REFRESH;
+            discovery.next_refresh = now + REFRESH_INTERVAL;
         }
-        self.listed = Some(listed);
-        self.listed_changes(now, gone, out);
+        self.discovery = Some(discovery);
+        self.apply_member_changes(now, removed, out);
         if refresh {
             self.refresh(now, out);
         }
-        self.tokens_tick(now, out);
+        self.bank_tick(now, out);
     }
 
-    /// What follows from members and time.
+    /// Recomputes the state derived from the members and the current time.
     fn refresh(&mut self, now: Time, out: &mut Vec<Action>) {
-        let watchers = self.listed_watchers();
-        let Some(listed) = &mut self.listed else {
+        let watchers = self.rank_watchers();
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
-        listed.watchers = watchers;
-        let age = listed.follower.age(now);
-        let stale = age.is_none_or(|age| age > listed.bounds.stale_after);
-        if stale != listed.stale {
-            listed.stale = stale;
+        discovery.watchers = watchers;
+        let age = discovery.follower.age(now);
+        let stale = age.is_none_or(|age| age > discovery.bounds.stale_after);
+        if stale != discovery.is_stale {
+            discovery.is_stale = stale;
             out.push(Action::Log(LogEvent::ConfigStaleness { stale, age }));
         }
-        let bounds = listed.bounds;
+        let bounds = discovery.bounds;
         if let Some(bank) = self.quota.bank() {
-            let until = listed.directory.minting_until(now);
-            bank.adopt(now, until, &listed.directory.token_server_candidates(now));
+            let until = discovery.directory.minting_until(now);
+            bank.adopt(
+                now,
+                until,
+                &discovery.directory.token_server_candidates(now),
+            );
         }
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
         let slack = bounds.retry_slack / nodes as f64;
         self.router.limit_retries(Terms {
-            ratio: bounds.retry_ratio * RATIO_SHARE,
-            floor: slack * FLOOR_SHARE / seconds,
-            saved: slack * SAVED_SHARE,
-            ahead: bounds.retry_window.scale(AHEAD_SHARE),
-            reserve: RESERVE,
+            ratio: bounds.retry_ratio * RETRY_RATIO_SHARE,
+            floor: slack * RETRY_FLOOR_SHARE / seconds,
+            saved: slack * RETRY_SAVED_SHARE,
+            ahead: bounds.retry_window.scale(RETRY_AHEAD_SHARE),
+            reserve: CRITICAL_RETRY_SHARE,
         });
     }
 
-    pub(super) fn listed_store(
+    pub(super) fn discovery_store_answer(
         &mut self,
         now: Time,
         number: u64,
         answer: store::Answer,
         out: &mut Vec<Action>,
     ) {
-        let Some(listed) = &mut self.listed else {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
-        match listed.asked.remove(&number) {
-            Some(Task::Register) => {
-                listed
+        match discovery.pending_calls.remove(&number) {
+            Some(PendingCall::Register) => {
+                discovery
                     .directory
                     .handle_answer(now, Purpose::Register, answer);
             }
-            Some(Task::Follow { topic, after, sent }) => {
-                listed.watcher.record_answer(topic, sent, after, &answer);
+            Some(PendingCall::Follow { topic, after, sent }) => {
+                discovery.watcher.record_answer(topic, sent, after, &answer);
                 match topic {
                     Topic::Members => {
-                        let changes = listed.directory.handle_answer(now, Purpose::Watch, answer);
-                        self.listed_changes(now, changes, out);
+                        let changes =
+                            discovery
+                                .directory
+                                .handle_answer(now, Purpose::Watch, answer);
+                        self.apply_member_changes(now, changes, out);
                     }
                     Topic::Configuration => {
-                        let news = listed.follower.answer(now, answer);
-                        self.listed_news(now, news, out);
+                        let news = discovery.follower.answer(now, answer);
+                        self.handle_config_update(now, news, out);
                     }
                 }
             }
             None => {}
         }
-        self.listed_tick(now, out);
+        self.discovery_tick(now, out);
     }
 
-    fn listed_news(&mut self, now: Time, news: News, out: &mut Vec<Action>) {
+    fn handle_config_update(&mut self, now: Time, news: News, out: &mut Vec<Action>) {
         match news {
             News::Nothing => {}
-            News::Newer(snapshot) => self.listed_adopt(now, snapshot, out),
+            News::Newer(snapshot) => self.adopt_discovered_config(now, snapshot, out),
             News::Unusable(error) => {
                 self.counts.add(Counter::Invalid);
                 let reason = error.reason().to_owned();
@@ -366,7 +391,12 @@
         }
     }
 
-    fn listed_adopt(&mut self, now: Time, snapshot: document::Shared, out: &mut Vec<Action>) {
+    fn adopt_discovered_config(
+        &mut self,
+        now: Time,
+        snapshot: document::Shared,
+        out: &mut Vec<Action>,
+    ) {
         if snapshot.version != self.snapshot.version {
             out.push(Action::Log(LogEvent::ConfigAdopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
@@ -384,11 +414,12 @@
             }
         }
         self.adopt(snapshot);
-        // What waits for an upstream that was just evacuated goes elsewhere at once.
+        // Requests queued for an upstream that was just evacuated move elsewhere
+        // at once.
         self.run_proxy(now, inbound::Event::Tick, out);
     }
 
-    fn listed_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Action>) {
+    fn apply_member_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Action>) {
         if changes.is_empty() {
             return;
         }
@@ -397,46 +428,49 @@
                 Change::Updated(peer) if peer.instance == self.identity.peer.instance => {}
                 Change::Updated(peer) => {
                     out.push(Action::Log(LogEvent::MemberChanged(peer.clone())));
-                    self.reached(&peer.instance);
+                    self.mark_reachable(&peer.instance);
                     self.members.insert(peer);
                 }
                 Change::Removed(name) if name == self.identity.peer.instance => {}
                 Change::Removed(name) => {
-                    self.reached(&name);
+                    self.mark_reachable(&name);
                     self.members.remove(&name);
                     out.push(Action::Log(LogEvent::MemberRemoved(name.clone())));
-                    // Nobody there will answer what is still under way.
+                    // Attempts in flight to this member will not be answered.
                     self.run_router(now, ingress::Event::Broken(name.clone()), out);
                     self.router.forget_instance(&name);
                 }
             }
         }
-        let watchers = self.listed_watchers();
-        if let Some(listed) = &mut self.listed {
-            listed.watchers = watchers;
+        let watchers = self.rank_watchers();
+        if let Some(discovery) = &mut self.discovery {
+            discovery.watchers = watchers;
         }
     }
 
-    fn reached(&mut self, peer: &Instance) {
-        if let Some(listed) = &mut self.listed {
-            listed.away.remove(peer);
+    fn mark_reachable(&mut self, peer: &Instance) {
+        if let Some(discovery) = &mut self.discovery {
+            discovery.unreachable.remove(peer);
         }
     }
 
-    /// A link to a member broke, or could not be made: it gets no work while
-    /// others are there, and is dialed until it answers.
-    pub(super) fn listed_broken(&mut self, now: Time, peer: &Instance) {
-        let Some(listed) = &mut self.listed else {
+    /// Handles a lost link, or a failure to open one. The member gets no work
+    /// while other members are available, and is dialed until it answers.
+    pub(super) fn discovery_link_lost(&mut self, now: Time, peer: &Instance) {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
-        listed.subscriber.peer_unreachable(now, peer);
+        discovery.subscriber.peer_unreachable(now, peer);
         let Some(member) = self.members.get(peer).cloned() else {
             return;
         };
-        listed.away.entry(peer.clone()).or_insert(Reconnect {
-            next: now + FIRST_RECONNECT_BACKOFF,
-            backoff: FIRST_RECONNECT_BACKOFF,
-        });
+        discovery
+            .unreachable
+            .entry(peer.clone())
+            .or_insert(Reconnect {
+                next: now + FIRST_RECONNECT_BACKOFF,
+                backoff: FIRST_RECONNECT_BACKOFF,
+            });
         if member.status == Status::Alive {
             self.members.insert(Peer {
                 status: Status::Suspect,
@@ -445,9 +479,9 @@
         }
     }
 
-    /// A link to a member was made.
-    pub(super) fn listed_linked(&mut self, peer: &Instance) {
-        self.reached(peer);
+    /// Handles a newly opened link to a member.
+    pub(super) fn discovery_link_opened(&mut self, peer: &Instance) {
+        self.mark_reachable(peer);
         if let Some(member) = self.members.get(peer).cloned()
             && member.status == Status::Suspect
         {
@@ -458,46 +492,47 @@
         }
     }
 
-    /// This node's upstream takes requests, or takes none any more.
-    pub(super) fn listed_ready(&mut self, now: Time, ready: bool) {
+    /// Updates and announces whether this node's upstream accepts requests.
+    pub(super) fn discovery_set_ready(&mut self, now: Time, ready: bool) {
         self.identity.peer.ready = ready;
-        self.listed_announce(now);
+        self.discovery_announce(now);
     }
 
-    fn listed_announce(&mut self, now: Time) {
+    fn discovery_announce(&mut self, now: Time) {
         let me = self.identity.peer.clone();
         self.members.insert(me.clone());
-        if let Some(listed) = &mut self.listed {
-            listed.directory.announce(now, me);
+        if let Some(discovery) = &mut self.discovery {
+            discovery.directory.announce(now, me);
         }
     }
 
-    pub(super) fn listed_drain(&mut self, now: Time) {
-        let Some(listed) = &mut self.listed else {
+    pub(super) fn discovery_drain(&mut self, now: Time) {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
-        if listed.leaving.is_none() {
-            listed.leaving = Some(now);
+        if discovery.leaving_since.is_none() {
+            discovery.leaving_since = Some(now);
             self.identity.peer.status = Status::Leaving;
-            self.listed_announce(now);
+            self.discovery_announce(now);
         }
     }
 
-    /// Whether this node may go, once nothing runs any more.
-    pub(super) fn listed_left(&mut self, now: Time) -> bool {
-        let Some(listed) = &mut self.listed else {
+    /// Returns whether this node may stop once nothing is running any more. After
+    /// [`MIN_DRAIN`] it starts to delete its record from the store.
+    pub(super) fn discovery_finish_leaving(&mut self, now: Time) -> bool {
+        let Some(discovery) = &mut self.discovery else {
             return true;
         };
-        if listed
-            .leaving
+        if discovery
+            .leaving_since
             .is_none_or(|since| now.since(since) < MIN_DRAIN)
         {
             return false;
         }
-        let left = *listed.left.get_or_insert_with(|| {
-            listed.directory.leave(now);
+        let left = *discovery.deregistering_since.get_or_insert_with(|| {
+            discovery.directory.leave(now);
             now
         });
-        listed.directory.has_left() || now.since(left) >= DEREGISTER_TIMEOUT
+        discovery.directory.has_left() || now.since(left) >= DEREGISTER_TIMEOUT
     }
 }
--- a/src/process/node/listed/inquiry.rs
+++ b/src/process/node/listed/inquiry.rs
@@ -1,8 +1,8 @@
-//! Whom a listed node asks for members and configuration.
+//! Queries for members and configuration, to a watcher or to the store.
 
 use super::{
-    Listed,
-    Task,
+    Discovery,
+    PendingCall,
     WATCHER_CANDIDATES,
     WATCHER_HASH_SEED, //
 };
@@ -30,51 +30,57 @@
 };
 
 impl Core {
-    /// Asks a watcher of this domain for what is wanted to know, or else the store.
-    pub(super) fn inquire(&mut self, now: Time, listed: &mut Listed, out: &mut Vec<Action>) {
+    /// Sends pending queries to a watcher of this domain, or to the store if no
+    /// watcher can be asked.
+    pub(super) fn query_watcher_or_store(
+        &mut self,
+        now: Time,
+        discovery: &mut Discovery,
+        out: &mut Vec<Action>,
+    ) {
         let me = &self.identity.peer.instance;
-        listed.subscriber.expire_question(now);
-        let watchers = listed.watchers.iter();
-        let chosen = listed.subscriber.choose_watcher(now, watchers);
+        discovery.subscriber.expire_question(now);
+        let watchers = discovery.watchers.iter();
+        let chosen = discovery.subscriber.choose_watcher(now, watchers);
         let chosen =
-            chosen.filter(|chosen| *chosen != me && !listed.watcher.has_recent_questions(now));
+            chosen.filter(|chosen| *chosen != me && !discovery.watcher.has_recent_questions(now));
         let chosen = chosen.cloned();
-        if chosen != listed.source {
+        if chosen != discovery.source {
             out.push(Action::Log(LogEvent::StoreSource(chosen.clone())));
-            listed.source.clone_from(&chosen);
+            discovery.source.clone_from(&chosen);
         }
         if let Some(chosen) = chosen {
-            if let Some(question) = listed.subscriber.next_question(now, me, &chosen) {
-                listed.watcher.clear();
-                out.push(control(chosen, Message::Feed(question)));
+            if let Some(question) = discovery.subscriber.next_question(now, me, &chosen) {
+                discovery.watcher.clear();
+                out.push(control_frame(chosen, Message::Feed(question)));
             }
-        } else if !listed.is_early(now) {
-            for (topic, after) in listed.subscriber.take_requests() {
-                let after = after.filter(|_| listed.watcher.has_topic(topic));
+        } else if !discovery.awaits_first_members(now) {
+            for (topic, after) in discovery.subscriber.take_requests() {
+                let after = after.filter(|_| discovery.watcher.has_topic(topic));
                 let call = match topic {
                     Topic::Members => directory::watch_call(after),
-                    Topic::Configuration => listed.follower.question(after),
+                    Topic::Configuration => discovery.follower.question(after),
                 };
-                let number = self.call_store(StoreCaller::Listed, call, out);
+                let number = self.call_store(StoreCaller::Discovery, call, out);
                 let sent = now;
-                let task = Task::Follow { topic, after, sent };
-                listed.asked.insert(number, task);
+                let pending = PendingCall::Follow { topic, after, sent };
+                discovery.pending_calls.insert(number, pending);
             }
         }
         let me = &self.identity.peer.instance;
-        for (to, reply) in listed.watcher.take_replies(now, me) {
-            out.push(control(to, Message::Feed(reply)));
+        for (to, reply) in discovery.watcher.take_replies(now, me) {
+            out.push(control_frame(to, Message::Feed(reply)));
         }
     }
 
-    /// Takes a message between a watcher and the nodes that ask it.
+    /// Handles a message between a watcher and the nodes that query it.
     pub(in crate::process::node) fn on_feed_message(
         &mut self,
         now: Time,
         message: feed::Message,
         out: &mut Vec<Action>,
     ) {
-        let Some(listed) = &mut self.listed else {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
         match message {
@@ -82,43 +88,47 @@
                 from,
                 number,
                 after,
-            } => listed.watcher.handle_question(now, from, number, after),
+            } => discovery.watcher.handle_question(now, from, number, after),
             feed::Message::Reply {
                 number, held, news, ..
             } => {
-                for word in listed.subscriber.handle_reply(now, number, held, news) {
-                    self.told(now, word, out);
+                for update in discovery.subscriber.handle_reply(now, number, held, news) {
+                    self.apply_watcher_update(now, update, out);
                 }
             }
         }
-        self.listed_tick(now, out);
+        self.discovery_tick(now, out);
     }
 
-    /// Takes what a watcher says of the store.
-    fn told(&mut self, now: Time, word: feed::Update, out: &mut Vec<Action>) {
-        let Some(listed) = &mut self.listed else {
+    /// Applies a store update relayed by a watcher.
+    fn apply_watcher_update(&mut self, now: Time, update: feed::Update, out: &mut Vec<Action>) {
+        let Some(discovery) = &mut self.discovery else {
             return;
         };
-        match word.topic {
+        match update.topic {
             Topic::Members => {
-                let changes = listed
-                    .directory
-                    .handle_relayed(now, word.confirmed_at, word.answer);
-                self.listed_changes(now, changes, out);
+                let changes =
+                    discovery
+                        .directory
+                        .handle_relayed(now, update.confirmed_at, update.answer);
+                self.apply_member_changes(now, changes, out);
             }
             Topic::Configuration => {
-                let news = listed.follower.told(now, word.confirmed_at, word.answer);
-                self.listed_news(now, news, out);
+                let news = discovery
+                    .follower
+                    .told(now, update.confirmed_at, update.answer);
+                self.handle_config_update(now, news, out);
             }
         }
     }
 
-    /// The members of this domain that watch the store, best first.
-    pub(super) fn listed_watchers(&self) -> Vec<Instance> {
+    /// Returns the members of this domain that watch the store, highest rank
+    /// first.
+    pub(super) fn rank_watchers(&self) -> Vec<Instance> {
         let own = &self.identity.peer;
-        let fit = |peer: &&Peer| peer.domain == own.domain && peer.status == Status::Alive;
+        let is_candidate = |peer: &&Peer| peer.domain == own.domain && peer.status == Status::Alive;
         let best = member::rank_by_rendezvous(
-            self.members.iter().filter(fit),
+            self.members.iter().filter(is_candidate),
             WATCHER_HASH_SEED,
             WATCHER_CANDIDATES,
         );
@@ -126,7 +136,8 @@
     }
 }
 
-/// A message that must not be lost, over the link to a peer.
-fn control(to: Instance, message: Message) -> Action {
+/// Wraps a message that must not be lost in a frame, which is sent over the link
+/// instead of as a datagram.
+fn control_frame(to: Instance, message: Message) -> Action {
     Action::Frame(to, Frame::Control(Box::new(message)))
 }
--- a/src/process/node/listed/tokens.rs
+++ b/src/process/node/listed/tokens.rs
@@ -1,4 +1,4 @@
-//! How a listed node carries the messages of token servers.
+//! Message transport of the token servers in discovery mode.
 
 use crate::{
     clock::Time,
@@ -12,7 +12,7 @@
 };
 
 impl Core {
-    pub(super) fn tokens_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn bank_tick(&mut self, now: Time, out: &mut Vec<Action>) {
         let waiting = self.router.charging();
         let Some(bank) = self.quota.bank() else {
             return;
@@ -20,10 +20,10 @@
         for team in bank.tick(now, &waiting) {
             self.run_router(now, ingress::Event::Quota(team), out);
         }
-        self.send_tokens(out);
+        self.send_bank_messages(out);
     }
 
-    pub(in crate::process::node) fn send_tokens(&mut self, out: &mut Vec<Action>) {
+    pub(in crate::process::node) fn send_bank_messages(&mut self, out: &mut Vec<Action>) {
         let Some(bank) = self.quota.bank() else {
             return;
         };
@@ -44,6 +44,6 @@
         if let Some(team) = bank.on(now, message) {
             self.run_router(now, ingress::Event::Quota(team), out);
         }
-        self.send_tokens(out);
+        self.send_bank_messages(out);
     }
 }
