--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -66,7 +66,7 @@
 enum StoreCaller {
     Gossip,
     Discovery,
-    Rights,
+    Leases,
 }
 
 /// A state change that the server writes to its log.
@@ -270,7 +270,7 @@
     gossip: fleet::Gossip,
     discovery: Option<listed::Discovery>,
     quota: Holder,
-    rights: rights::Rights,
+    leases: rights::Leases,
     router: ingress::Router,
     proxy: inbound::Proxy,
     levels: Levels,
@@ -296,7 +296,7 @@
             ),
             discovery: None,
             quota: Holder::new(identity.peer.instance.clone(), identity.peer.incarnation),
-            rights: rights::Rights::new(
+            leases: rights::Leases::new(
                 identity.peer.instance.clone(),
                 identity.peer.incarnation,
                 identity.seed.wrapping_add(1),
@@ -399,9 +399,9 @@
             }
             Event::OutboundLinkOpened(peer) => self.discovery_link_opened(&peer),
             Event::InboundLinkLost(peer) => self.run_proxy(now, inbound::Event::Broken(peer), out),
-            Event::AnswerCaptured(request, whole) => self.record_kept(request, whole),
+            Event::AnswerCaptured(request, whole) => self.store_record_answer(request, whole),
             Event::AttemptEnded(request, end) => {
-                self.record_ended(now, request, end, out);
+                self.record_attempt_ended(now, request, end, out);
                 self.run_proxy(now, inbound::Event::Ended(request, end), out)
             }
             Event::UpstreamReady(ready) => {
@@ -430,7 +430,7 @@
                 Some(StoreCaller::Discovery) => {
                     self.discovery_store_answer(now, number, answer, out)
                 }
-                Some(StoreCaller::Rights) => self.rights_store(now, number, answer, out),
+                Some(StoreCaller::Leases) => self.leases_store_answer(now, number, answer, out),
                 None => {}
             },
             Event::Survey => self.survey(now, out),
@@ -441,7 +441,7 @@
                     return self.discovery_drain(now);
                 }
                 self.gossip_drain(now, out);
-                self.rights_drain(now, out);
+                self.leases_drain(now, out);
             }
             Event::Tick => self.on_tick(now, out),
         }
@@ -478,8 +478,8 @@
             return;
         }
         self.gossip_tick(now, out);
-        self.rights_tick(now, out);
-        let released = idle && self.rights_over(now);
+        self.leases_tick(now, out);
+        let released = idle && self.leases_released(now);
         if self.draining.is_some() && released && self.gossip_finish_leaving(now, out) {
             out.push(Action::Stop);
         }
@@ -546,7 +546,13 @@
                 ..
             } => {
                 if let Some(claim) = &claim
-                    && !self.guarded(now, &peer, request, (&route, &context, claim), out)
+                    && !self.admit_claimed_attempt(
+                        now,
+                        &peer,
+                        request,
+                        (&route, &context, claim),
+                        out,
+                    )
                 {
                     return;
                 }
@@ -561,7 +567,7 @@
                 self.run_proxy(now, event, out);
             }
             Frame::Hint(hint) => self.on_upstream_event(now, inbound::Event::Hint(hint), out),
-            Frame::Cancel { request } if self.record_runs(request) => {}
+            Frame::Cancel { request } if self.is_recorded_attempt_running(request) => {}
             Frame::Cancel { request } => {
                 self.run_proxy(now, inbound::Event::Cancel(peer, request), out);
             }
@@ -570,7 +576,7 @@
                 life,
                 left,
             } => {
-                if let Some(fate) = self.record_fate(request) {
+                if let Some(fate) = self.joined_attempt_fate(request) {
                     out.push(Action::Frame(peer, Frame::Fate { request, fate }));
                     return;
                 }
@@ -659,7 +665,7 @@
             snapshot: &self.snapshot,
             members: &self.members,
             quota: &mut self.quota,
-            records: &self.rights.directory,
+            records: &self.leases.record_directory,
             proxy: &mut self.proxy,
             levels: &mut self.levels,
             policy: self.policy,
@@ -671,7 +677,7 @@
         out.extend(actions.into_iter().map(Action::from));
         match self.discovery.is_some() {
             true => self.send_bank_messages(out),
-            false => self.rights_send(now, out),
+            false => self.send_quota_messages(now, out),
         }
     }
 
@@ -688,7 +694,7 @@
         self.proxy.on(now, event, &mut world, &mut actions);
         for action in actions {
             if let inbound::Action::Refuse(_, request, code, _) = &action {
-                self.record_refused(now, *request, *code, out);
+                self.record_attempt_refused(now, *request, *code, out);
             }
             match action {
                 inbound::Action::Orphan(orphaned) => {
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -1,4 +1,4 @@
-//! Rights, rates and records: what one node holds for the whole fleet.
+//! Seat leases, quotas and idempotency records that a node owns for the fleet.
 
 mod records;
 mod seats;
@@ -40,163 +40,177 @@
     store, //
 };
 
-/// How often the node considers which seats it should own.
-const PLAN: Span = Span::from_secs(1);
-/// Time that a leaving node waits for its claimed attempts.
-const RUNNING: Span = Span::from_secs(2);
-/// Time for the successor to hear what is in the buckets.
-const HAND_ON: Span = Span::from_ms(25);
+/// Interval at which the node recomputes which seats it should own.
+const PLAN_INTERVAL: Span = Span::from_secs(1);
+/// How long a leaving node waits for running attempts with idempotency claims.
+const CLAIMED_ATTEMPTS_TIMEOUT: Span = Span::from_secs(2);
+/// How long the successor is given to receive the bucket levels before the seats
+/// are released.
+const HANDOVER_DELAY: Span = Span::from_ms(25);
 
-/// What this node holds for the fleet, and whom it believes to hold the rest.
+/// The seats that this node owns, and the believed owners of all others.
 #[derive(Debug)]
-pub(super) struct Rights {
-    keeper: SeatManager,
-    owner: Owner,
-    records: record::Owner,
-    /// Where this node's ingress looks for record owners.
-    pub(super) directory: Directory,
-    wall: Option<(Time, u64)>,
+pub(super) struct Leases {
+    seat_manager: SeatManager,
+    quota_owner: Owner,
+    record_owner: record::Owner,
+    /// The record owners known to this node's ingress.
+    pub(super) record_directory: Directory,
+    wall_clock: Option<(Time, u64)>,
     plan: Plan,
-    planned: Option<Time>,
+    planned_at: Option<Time>,
     tickets: BTreeMap<u64, u64>,
-    /// Wishes in a row that a seat's owner has not answered.
-    unanswered: BTreeMap<Seat, u32>,
-    /// When the node was told to leave; it grants nothing from then on.
-    leaving: Option<Time>,
-    /// When nothing that was done under its rights was outstanding any more.
-    settled: Option<Time>,
-    /// What was in the buckets when the seats were given up.
-    accounts: Option<Vec<quota::BucketSnapshot>>,
+    /// Consecutive requests for tokens that a seat's owner has not answered.
+    unanswered_asks: BTreeMap<Seat, u32>,
+    /// When the node was told to leave; from then on it grants nothing.
+    leaving_since: Option<Time>,
+    /// When the last grant and claimed attempt made under its seats had ended.
+    settled_at: Option<Time>,
+    /// The bucket levels when the handover of the seats began.
+    handover_buckets: Option<Vec<quota::BucketSnapshot>>,
 }
 
-impl Rights {
+impl Leases {
     pub(super) fn new(instance: Instance, life: crate::id::Incarnation, seed: u64) -> Self {
         Self {
-            keeper: SeatManager::new(instance, life, seed),
-            owner: Owner::default(),
-            records: record::Owner::default(),
-            directory: Directory::default(),
-            wall: None,
+            seat_manager: SeatManager::new(instance, life, seed),
+            quota_owner: Owner::default(),
+            record_owner: record::Owner::default(),
+            record_directory: Directory::default(),
+            wall_clock: None,
             plan: Plan::default(),
-            planned: None,
+            planned_at: None,
             tickets: BTreeMap::new(),
-            unanswered: BTreeMap::new(),
-            leaving: None,
-            settled: None,
-            accounts: None,
+            unanswered_asks: BTreeMap::new(),
+            leaving_since: None,
+            settled_at: None,
+            handover_buckets: None,
         }
     }
 }
 
 impl Core {
-    /// Shares rates in another way, and goes by other times of leases, from the
-    /// beginning of the node on.
+    /// Sets the mode of rate sharing and the lease timing. Must be called when the
+    /// node starts.
     pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
         self.quota.switch(mode);
-        self.rights.keeper.configure(setting);
+        self.leases.seat_manager.configure(setting);
         if let Mode::Standing(percent, _) = mode {
-            self.rights.owner.reserve(percent);
+            self.leases.quota_owner.reserve(percent);
         }
     }
 
-    /// The rights that this node holds, to look at.
+    /// Returns the seat manager, to inspect the seats that this node owns.
     pub fn seat_manager(&self) -> &SeatManager {
-        &self.rights.keeper
+        &self.leases.seat_manager
     }
 
-    pub(super) fn rights_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.rights.planned.is_none_or(|at| now.since(at) >= PLAN) {
-            self.rights.planned = Some(now);
+    pub(super) fn leases_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        if self
+            .leases
+            .planned_at
+            .is_none_or(|at| now.since(at) >= PLAN_INTERVAL)
+        {
+            self.leases.planned_at = Some(now);
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
-            self.rights.directory.plan(plan.records());
-            self.rights.plan = plan;
+            self.leases.record_directory.plan(plan.records());
+            self.leases.plan = plan;
             self.quota.adopt(now, &self.snapshot.teams.teams);
         }
         let mut actions = Vec::new();
-        let Rights { keeper, plan, .. } = &mut self.rights;
+        let Leases {
+            seat_manager, plan, ..
+        } = &mut self.leases;
         let (wanted, successors) = (&plan.wanted, &plan.successors);
-        keeper.tick(now, &self.members, wanted, successors, &mut actions);
-        self.rights_do(actions, out);
+        seat_manager.tick(now, &self.members, wanted, successors, &mut actions);
+        self.run_lease_actions(actions, out);
         for team in self.quota.tick(now) {
             self.run_router(now, ingress::Event::Quota(team), out);
         }
-        self.rights_send(now, out);
+        self.send_quota_messages(now, out);
         self.records_tick(now, out);
-        self.rights_leave(now, out);
+        self.release_seats(now, out);
     }
 
-    /// Gives back unused tokens at once; the seats follow when the grants that
-    /// were made under them have ended.
-    pub(super) fn rights_drain(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.rights.leaving.get_or_insert(now);
-        self.rights_send(now, out);
+    /// Returns unused tokens immediately. The seats are released later, when the
+    /// grants made under them have expired.
+    pub(super) fn leases_drain(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.leases.leaving_since.get_or_insert(now);
+        self.send_quota_messages(now, out);
     }
 
-    fn rights_leave(&mut self, now: Time, out: &mut Vec<Action>) {
-        let over = |since: Time| now.since(since) > quota::MAX_GRANT_LIFE;
-        if !self.rights.leaving.is_some_and(over) {
+    fn release_seats(&mut self, now: Time, out: &mut Vec<Action>) {
+        let grants_expired = |since: Time| now.since(since) > quota::MAX_GRANT_LIFE;
+        if !self.leases.leaving_since.is_some_and(grants_expired) {
             return;
         }
-        // Running claimed attempts end first, so that their answers go along.
-        let late = |since: Time| now.since(since) > RUNNING;
-        if self.rights.records.is_busy() && !self.rights.leaving.is_some_and(late) {
+        // Wait for running claimed attempts, so that their answers are part of
+        // the records that are handed over.
+        let timed_out = |since: Time| now.since(since) > CLAIMED_ATTEMPTS_TIMEOUT;
+        if self.leases.record_owner.is_busy() && !self.leases.leaving_since.is_some_and(timed_out) {
             return;
         }
-        self.rights.settled.get_or_insert(now);
+        self.leases.settled_at.get_or_insert(now);
         self.quota.drain();
-        self.rights_send(now, out);
-        if !self.rights.keeper.is_drained() {
-            self.hand_on(now, out);
+        self.send_quota_messages(now, out);
+        if !self.leases.seat_manager.is_drained() {
+            self.hand_over(now, out);
         }
-        // Said twice before the seats are free, as one message may be lost.
-        let told = |since: Time| now.since(since) > HAND_ON;
+        // The handover is sent twice before the seats are released, because one
+        // message may be lost.
+        let handed_over = |since: Time| now.since(since) > HANDOVER_DELAY;
         let mut actions = Vec::new();
-        if !self.rights.keeper.is_draining() && self.rights.settled.is_some_and(told) {
-            self.rights.keeper.drain(now, &mut actions);
+        if !self.leases.seat_manager.is_draining()
+            && self.leases.settled_at.is_some_and(handed_over)
+        {
+            self.leases.seat_manager.drain(now, &mut actions);
         }
-        self.rights_do(actions, out);
+        self.run_lease_actions(actions, out);
     }
 
-    /// Tells the successor what is in the buckets, before it hears that the seats
-    /// are free. Lost, it begins with empty ones.
-    fn hand_on(&mut self, now: Time, out: &mut Vec<Action>) {
-        // Read once: what came due afterwards is the successor's to count.
-        let owner = &mut self.rights.owner;
-        let accounts = self.rights.accounts.get_or_insert_with(|| {
+    /// Sends records and bucket levels to the successor before it learns that the
+    /// seats are free. If the levels are lost, the successor starts with empty
+    /// buckets.
+    fn hand_over(&mut self, now: Time, out: &mut Vec<Action>) {
+        // Read only once: the successor counts the tokens that accrue later.
+        let owner = &mut self.leases.quota_owner;
+        let buckets = self.leases.handover_buckets.get_or_insert_with(|| {
             owner.advance(now);
             owner.accounts()
         });
-        let accounts = accounts.clone();
-        let successor = self.rights.keeper.successor().cloned();
+        let buckets = buckets.clone();
+        let successor = self.leases.seat_manager.successor().cloned();
         let Some(to) = successor else {
             return;
         };
-        self.records_hand_on(now, &to, out);
-        if !accounts.is_empty() {
-            self.quota_tell(now, &to, quota::Message::Buckets(accounts), out);
+        self.hand_over_records(now, &to, out);
+        if !buckets.is_empty() {
+            self.send_quota_message(now, &to, quota::Message::Buckets(buckets), out);
         }
     }
 
-    /// Whether nothing is left to be handed on. The successor may be gone as
-    /// well, so a leaving node does not wait for it without end.
-    pub(super) fn rights_over(&self, now: Time) -> bool {
-        let late = |since: Time| now.since(since) > Span::from_secs(4);
-        self.rights.keeper.is_drained() || self.rights.leaving.is_some_and(late)
+    /// Returns whether all seats are released. A leaving node waits for this only
+    /// for a limited time, because the successor may have failed as well.
+    pub(super) fn leases_released(&self, now: Time) -> bool {
+        let timed_out = |since: Time| now.since(since) > Span::from_secs(4);
+        self.leases.seat_manager.is_drained() || self.leases.leaving_since.is_some_and(timed_out)
     }
 
-    pub(super) fn rights_store(
+    pub(super) fn leases_store_answer(
         &mut self,
         now: Time,
         number: u64,
         answer: store::Answer,
         out: &mut Vec<Action>,
     ) {
-        let Some(ticket) = self.rights.tickets.remove(&number) else {
+        let Some(ticket) = self.leases.tickets.remove(&number) else {
             return;
         };
         let mut actions = Vec::new();
-        self.rights.keeper.answer(now, ticket, answer, &mut actions);
-        self.rights_do(actions, out);
+        self.leases
+            .seat_manager
+            .answer(now, ticket, answer, &mut actions);
+        self.run_lease_actions(actions, out);
     }
 
     pub(super) fn on_lease_message(
@@ -206,16 +220,16 @@
         out: &mut Vec<Action>,
     ) {
         let mut actions = Vec::new();
-        self.rights.keeper.message(now, message, &mut actions);
-        self.rights_do(actions, out);
+        self.leases.seat_manager.message(now, message, &mut actions);
+        self.run_lease_actions(actions, out);
     }
 
-    fn rights_do(&mut self, actions: Vec<lease::Action>, out: &mut Vec<Action>) {
+    fn run_lease_actions(&mut self, actions: Vec<lease::Action>, out: &mut Vec<Action>) {
         for action in actions {
             match action {
                 lease::Action::Store(ticket, call) => {
-                    let number = self.call_store(StoreCaller::Rights, call, out);
-                    self.rights.tickets.insert(number, ticket);
+                    let number = self.call_store(StoreCaller::Leases, call, out);
+                    self.leases.tickets.insert(number, ticket);
                 }
                 lease::Action::Send(to, message) => {
                     self.send_message(&to, Message::Lease(message), out)
@@ -232,7 +246,7 @@
     ) {
         match message {
             quota::Message::Ask(ask) => {
-                let reply = self.grant(now, &ask);
+                let reply = self.grant_tokens(now, &ask);
                 let (team, number) = (ask.team, ask.number);
                 let message = quota::Message::Reply {
                     from: self.identity.peer.instance.clone(),
@@ -240,48 +254,49 @@
                     number,
                     reply,
                 };
-                self.quota_tell(now, &ask.from, message, out);
+                self.send_quota_message(now, &ask.from, message, out);
             }
             quota::Message::Reply {
                 from,
                 team,
                 number,
                 reply,
-            } => self.quota_reply(now, from, team, number, reply, out),
-            quota::Message::Buckets(accounts) => self.rights.owner.inherit(accounts),
+            } => self.on_quota_reply(now, from, team, number, reply, out),
+            quota::Message::Buckets(buckets) => self.leases.quota_owner.inherit(buckets),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
-                    self.rights.owner.returned(now, row, &returns);
+                    self.leases.quota_owner.returned(now, row, &returns);
                 }
             }
         }
     }
 
-    /// Grants tokens if this node owns the quota at this very moment.
-    fn grant(&mut self, now: Time, ask: &quota::Ask) -> Reply {
-        let seat = seats::quota(&ask.team);
-        let rights = &mut self.rights;
-        let right = rights.keeper.ownership(now, &seat);
+    /// Grants tokens if this node owns the team's quota seat at this moment.
+    fn grant_tokens(&mut self, now: Time, ask: &quota::Ask) -> Reply {
+        let seat = seats::quota_seat(&ask.team);
+        let leases = &mut self.leases;
+        let ownership = leases.seat_manager.ownership(now, &seat);
         let row = self.snapshot.teams.team(&ask.team);
-        match (right, row) {
-            (Some(right), Some(row)) if rights.leaving.is_none() => {
-                rights.owner.ask(now, right, row, ask)
+        match (ownership, row) {
+            (Some(ownership), Some(row)) if leases.leaving_since.is_none() => {
+                leases.quota_owner.ask(now, ownership, row, ask)
             }
             _ => {
-                rights.keeper.note_unreachable_owner(now, &seat);
+                leases.seat_manager.note_unreachable_owner(now, &seat);
                 let me = &self.identity.peer.instance;
-                let owner = match rights.leaving {
-                    Some(_) => rights.keeper.successor(),
-                    // The next owner of a seat does not send its askers back.
-                    None if rights.keeper.is_successor_for(&seat) => None,
-                    None => rights.keeper.owner(&seat),
+                let owner = match leases.leaving_since {
+                    Some(_) => leases.seat_manager.successor(),
+                    // The next owner of a seat does not refer nodes back to the
+                    // previous one.
+                    None if leases.seat_manager.is_successor_for(&seat) => None,
+                    None => leases.seat_manager.owner(&seat),
                 };
                 Reply::NotOwner(owner.filter(|owner| *owner != me).cloned())
             }
         }
     }
 
-    fn quota_reply(
+    fn on_quota_reply(
         &mut self,
         now: Time,
         from: Instance,
@@ -290,57 +305,57 @@
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
-        let seat = seats::quota(&team);
+        let seat = seats::quota_seat(&team);
         match &reply {
             Reply::NotOwner(Some(other)) => {
-                self.rights.unanswered.remove(&seat);
-                self.rights.keeper.set_owner_hint(seat, other.clone());
+                self.leases.unanswered_asks.remove(&seat);
+                self.leases.seat_manager.set_owner_hint(seat, other.clone());
             }
             Reply::NotOwner(None) => {}
             Reply::Granted { .. } | Reply::OverRate(_) => {
-                self.rights.unanswered.remove(&seat);
-                self.rights.keeper.set_owner_hint(seat, from);
+                self.leases.unanswered_asks.remove(&seat);
+                self.leases.seat_manager.set_owner_hint(seat, from);
             }
         }
         if self.quota.reply(now, &team, number, reply) {
             self.run_router(now, ingress::Event::Quota(team), out);
         }
-        self.rights_send(now, out);
+        self.send_quota_messages(now, out);
     }
 
-    /// Sends what the holder has to say to the quota owners.
-    pub(super) fn rights_send(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Sends the quota holder's outgoing messages to the quota owners.
+    pub(super) fn send_quota_messages(&mut self, now: Time, out: &mut Vec<Action>) {
         for (team, message) in self.quota.outbox() {
-            let seat = seats::quota(&team);
+            let seat = seats::quota_seat(&team);
             let tries = match &message {
                 quota::Message::Ask(_) => {
-                    let tries = self.rights.unanswered.entry(seat.clone()).or_default();
+                    let tries = self.leases.unanswered_asks.entry(seat.clone()).or_default();
                     *tries += 1;
                     *tries
                 }
                 _ => 0,
             };
-            if let Some(to) = self.quota_owner(&seat, tries) {
-                self.quota_tell(now, &to, message, out);
+            if let Some(to) = self.quota_ask_target(&seat, tries) {
+                self.send_quota_message(now, &to, message, out);
             }
         }
     }
 
-    /// Whom to ask: the last known owner, and when it does not answer, one after
-    /// the other of those that may have taken its place.
-    fn quota_owner(&self, seat: &Seat, tries: u32) -> Option<Instance> {
-        const FAITHFUL: u32 = 3;
-        let known = self.rights.keeper.owner(seat);
+    /// Returns the node to ask for tokens: the last known owner or, if it does not
+    /// answer, one candidate after another that may have replaced it.
+    fn quota_ask_target(&self, seat: &Seat, tries: u32) -> Option<Instance> {
+        const MAX_TRIES_AT_KNOWN_OWNER: u32 = 3;
+        let known = self.leases.seat_manager.owner(seat);
         match known {
-            Some(owner) if tries <= FAITHFUL => Some(owner.clone()),
-            _ => self
-                .rights
-                .plan
-                .candidate(seat, tries.saturating_sub(FAITHFUL) as usize),
+            Some(owner) if tries <= MAX_TRIES_AT_KNOWN_OWNER => Some(owner.clone()),
+            _ => self.leases.plan.candidate(
+                seat,
+                tries.saturating_sub(MAX_TRIES_AT_KNOWN_OWNER) as usize,
+            ),
         }
     }
 
-    fn quota_tell(
+    fn send_quota_message(
         &mut self,
         now: Time,
         to: &Instance,
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -1,4 +1,5 @@
-//! Claimed attempts: to the record owner, and only from there to the upstream.
+//! Attempts with an idempotency claim. They go to the record owner, which alone
+//! passes them to the upstream.
 
 use super::super::{
     Action,
@@ -27,26 +28,27 @@
     },
 };
 
-/// Records live at least so long.
-const LIFE: Span = Span::from_secs(20);
+/// Minimum lifetime of an idempotency record.
+const MIN_RECORD_LIFETIME: Span = Span::from_secs(20);
 
 impl Core {
-    /// Tells the wall clock, in milliseconds since 1970. Without it, no key is
-    /// ever taken for certainly new after an unplanned change of its owner.
+    /// Sets the wall-clock time, in milliseconds since 1970. Without it, no key is
+    /// considered certainly new after an unplanned change of its record owner.
     pub fn set_wall_clock(&mut self, now: Time, wall: u64) {
-        self.rights.wall = Some((now, wall));
+        self.leases.wall_clock = Some((now, wall));
     }
 
-    /// Judges an attempt that carries a claim. Returns whether it may run here.
-    pub(in super::super) fn guarded(
+    /// Checks an attempt with an idempotency claim against the records. Returns
+    /// whether it may run here.
+    pub(in super::super) fn admit_claimed_attempt(
         &mut self,
         now: Time,
         peer: &id::Instance,
         request: id::Request,
-        place: (&id::Route, &Context, &record::Claim),
+        details: (&id::Route, &Context, &record::Claim),
         out: &mut Vec<Action>,
     ) -> bool {
-        let (route, context, claim) = place;
+        let (route, context, claim) = details;
         let Some(route) = self.snapshot.tables.named(route) else {
             return true;
         };
@@ -62,13 +64,13 @@
             peer: peer.clone(),
         };
         let verdict = match route.pool == self.identity.peer.pool {
-            true => self.judge(now, &arrival, out),
+            true => self.check_record(now, &arrival, out),
             false => Verdict::Refuse(Code::RecordUnavailable),
         };
         if verdict == Verdict::Run {
             return true;
         }
-        // A copy of this attempt must not run later, when nobody expects it.
+        // Prevents a delayed copy of this attempt from running later.
         let cancel = inbound::Event::Cancel(peer.clone(), request);
         self.run_proxy(now, cancel, out);
         let answer = match verdict {
@@ -81,84 +83,98 @@
             request,
             answer,
         };
-        self.record_tell(now, vec![fate], out);
+        self.send_record_outcomes(now, vec![fate], out);
         false
     }
 
-    fn judge(&mut self, now: Time, arrival: &Arrival, out: &mut Vec<Action>) -> Verdict {
-        let life = self.record_life();
-        let rights = &mut self.rights;
-        let right = rights.keeper.ownership(now, &arrival.seat);
-        let wall = rights.wall.map(|(at, wall)| wall + now.since(at).as_ms());
-        if let Some(right) = right.filter(|_| rights.leaving.is_none()) {
-            return rights.records.arrive(now, right, arrival, life, wall);
+    fn check_record(&mut self, now: Time, arrival: &Arrival, out: &mut Vec<Action>) -> Verdict {
+        let life = self.record_lifetime();
+        let leases = &mut self.leases;
+        let ownership = leases.seat_manager.ownership(now, &arrival.seat);
+        let wall = leases
+            .wall_clock
+            .map(|(at, wall)| wall + now.since(at).as_ms());
+        if let Some(ownership) = ownership.filter(|_| leases.leaving_since.is_none()) {
+            return leases
+                .record_owner
+                .arrive(now, ownership, arrival, life, wall);
         }
-        if rights.leaving.is_none() {
-            rights.keeper.note_unreachable_owner(now, &arrival.seat);
+        if leases.leaving_since.is_none() {
+            leases
+                .seat_manager
+                .note_unreachable_owner(now, &arrival.seat);
         }
-        let owner = rights.keeper.owner(&arrival.seat).cloned();
+        let owner = leases.seat_manager.owner(&arrival.seat).cloned();
         if let Some(owner) = owner.filter(|owner| *owner != self.identity.peer.instance) {
             let message = record::Message::Elsewhere(arrival.seat.clone(), owner);
-            self.record_send(now, &arrival.peer, message, out);
+            self.send_record_message(now, &arrival.peer, message, out);
         }
         Verdict::Refuse(Code::RecordUnavailable)
     }
 
-    /// Twice the longest deadline: by then every attempt has ended.
-    fn record_life(&self) -> Span {
+    /// Twice the longest deadline, after which every attempt has ended.
+    fn record_lifetime(&self) -> Span {
         let deadlines = self.snapshot.tables.routes.iter().map(|r| r.deadline);
         let longest = deadlines.max().unwrap_or_default();
-        (longest + longest).max(LIFE)
+        (longest + longest).max(MIN_RECORD_LIFETIME)
     }
 
-    pub(in super::super) fn record_kept(&mut self, request: id::Request, whole: Box<Whole>) {
-        self.rights.records.keep(request, whole);
+    pub(in super::super) fn store_record_answer(
+        &mut self,
+        request: id::Request,
+        whole: Box<Whole>,
+    ) {
+        self.leases.record_owner.keep(request, whole);
     }
 
-    pub(in super::super) fn record_ended(
+    pub(in super::super) fn record_attempt_ended(
         &mut self,
         now: Time,
         request: id::Request,
         end: inbound::End,
         out: &mut Vec<Action>,
     ) {
-        let fates = self.rights.records.ended(now, request, end);
-        self.record_tell(now, fates, out);
+        let fates = self.leases.record_owner.ended(now, request, end);
+        self.send_record_outcomes(now, fates, out);
     }
 
-    pub(in super::super) fn record_refused(
+    pub(in super::super) fn record_attempt_refused(
         &mut self,
         now: Time,
         request: id::Request,
         code: Code,
         out: &mut Vec<Action>,
     ) {
-        let fates = self.rights.records.refused(request, code);
-        self.record_tell(now, fates, out);
+        let fates = self.leases.record_owner.refused(request, code);
+        self.send_record_outcomes(now, fates, out);
     }
 
-    /// Whether a recorded attempt goes on although its caller is gone: a repeat
-    /// will want its answer.
-    pub(in super::super) fn record_runs(&self, request: id::Request) -> bool {
-        self.rights.records.is_running(request) && self.proxy.runs(request)
+    /// Returns whether an attempt with a record is running. It continues even if
+    /// its caller is gone, because a repeat of the call needs the answer.
+    pub(in super::super) fn is_recorded_attempt_running(&self, request: id::Request) -> bool {
+        self.leases.record_owner.is_running(request) && self.proxy.runs(request)
     }
 
-    /// What became of an attempt that waits for another's answer: the key runs,
-    /// so it would be false to say that it does not.
-    pub(in super::super) fn record_fate(&self, request: id::Request) -> Option<frame::Fate> {
-        let waits = self.rights.records.is_waiting(request);
-        waits.then_some(frame::Fate::Running)
+    /// Returns the fate of an attempt that waits for the answer to another attempt
+    /// with the same key. The key is being executed, so reporting the attempt as
+    /// not run would be wrong.
+    pub(in super::super) fn joined_attempt_fate(
+        &self,
+        request: id::Request,
+    ) -> Option<frame::Fate> {
+        let is_waiting = self.leases.record_owner.is_waiting(request);
+        is_waiting.then_some(frame::Fate::Running)
     }
 
     pub(super) fn records_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let life = self.record_life();
+        let life = self.record_lifetime();
         let proxy = &self.proxy;
         let holds = |request| proxy.holds(request);
-        let fates = self.rights.records.tick(now, life, holds);
-        self.record_tell(now, fates, out);
+        let fates = self.leases.record_owner.tick(now, life, holds);
+        self.send_record_outcomes(now, fates, out);
     }
 
-    fn record_tell(&mut self, now: Time, fates: Vec<Fate>, out: &mut Vec<Action>) {
+    fn send_record_outcomes(&mut self, now: Time, fates: Vec<Fate>, out: &mut Vec<Action>) {
         for Fate {
             peer,
             request,
@@ -183,15 +199,20 @@
         }
     }
 
-    /// Hands all records to the successor.
-    pub(super) fn records_hand_on(&mut self, now: Time, to: &id::Instance, out: &mut Vec<Action>) {
-        for (seat, epoch, records) in self.rights.records.hand_on() {
+    /// Sends all records to the successor.
+    pub(super) fn hand_over_records(
+        &mut self,
+        now: Time,
+        to: &id::Instance,
+        out: &mut Vec<Action>,
+    ) {
+        for (seat, epoch, records) in self.leases.record_owner.hand_on() {
             let message = record::Message::Records(seat, epoch, records);
-            self.record_send(now, to, message, out);
+            self.send_record_message(now, to, message, out);
         }
     }
 
-    fn record_send(
+    fn send_record_message(
         &mut self,
         now: Time,
         to: &id::Instance,
@@ -211,9 +232,11 @@
         _out: &mut Vec<Action>,
     ) {
         match message {
-            record::Message::Elsewhere(seat, owner) => self.rights.directory.learn(seat, owner),
+            record::Message::Elsewhere(seat, owner) => {
+                self.leases.record_directory.learn(seat, owner)
+            }
             record::Message::Records(seat, epoch, records) => {
-                self.rights.records.inherit(seat, epoch, records);
+                self.leases.record_owner.inherit(seat, epoch, records);
             }
         }
     }
--- a/src/process/node/rights/seats.rs
+++ b/src/process/node/rights/seats.rs
@@ -1,8 +1,8 @@
-//! Which nodes should own which seats.
+//! Placement of seats on nodes.
 //!
-//! A few nodes of each failure domain own the quotas of all teams, so that
-//! store calls grow with domains. Who should own a seat is each node's own
-//! opinion; who does own it is decided in the store.
+//! A few nodes of each failure domain own the quotas of all teams, so that the
+//! number of store calls grows with the number of domains. Each node computes on
+//! its own who should own a seat; the store decides who does.
 
 use std::{
     cmp::Reverse,
@@ -28,43 +28,44 @@
     record, //
 };
 
-/// Seats that all teams' quotas are spread over. Every node must count alike.
-const QUOTAS: u64 = 16;
-/// Nodes that own quotas, at least, when there are so many.
-const KEEPERS: usize = 3;
+/// Number of seats over which the quotas of all teams are distributed. All nodes
+/// must use the same number.
+const QUOTA_SEATS: u64 = 16;
+/// Minimum number of nodes that own quotas, if the fleet has as many.
+const MIN_QUOTA_OWNERS: usize = 3;
 
-/// The seat of a team's quota.
-pub(super) fn quota(team: &Team) -> Seat {
+/// Returns the seat of a team's quota.
+pub(super) fn quota_seat(team: &Team) -> Seat {
     Seat(format!(
         "quota/{}",
-        xxh3_64(team.as_str().as_bytes()) % QUOTAS
+        xxh3_64(team.as_str().as_bytes()) % QUOTA_SEATS
     ))
 }
 
-/// One node's opinion of who should own what.
+/// The placement of seats as computed by one node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Plan {
     /// Seats that this node should own.
     pub(super) wanted: Vec<Seat>,
-    /// Whom this node should name as its successor, best first.
+    /// Candidates for the successor of this node, highest rank first.
     pub(super) successors: Vec<Instance>,
-    keepers: Vec<(Domain, Instance)>,
-    pools: BTreeMap<Pool, Vec<Instance>>,
+    quota_owners: Vec<(Domain, Instance)>,
+    record_owners: BTreeMap<Pool, Vec<Instance>>,
 }
 
 impl Plan {
     pub(super) fn new(me: &Peer, members: &Table, snapshot: &Snapshot) -> Self {
-        let keepers = keepers(members);
-        let all = (0..QUOTAS).map(|number| Seat(format!("quota/{number}")));
+        let quota_owners = select_quota_owners(members);
+        let all = (0..QUOTA_SEATS).map(|number| Seat(format!("quota/{number}")));
         let mut plan = Self {
             wanted: Vec::new(),
             successors: Vec::new(),
-            keepers,
-            pools: BTreeMap::new(),
+            quota_owners,
+            record_owners: BTreeMap::new(),
         };
         for row in &snapshot.tables.pools {
-            let own = pool_keepers(members, &row.name);
-            plan.pools.insert(row.name.clone(), own);
+            let own = select_record_owners(members, &row.name);
+            plan.record_owners.insert(row.name.clone(), own);
         }
         plan.wanted = all
             .filter(|seat| plan.candidate(seat, 0).as_ref() == Some(&me.instance))
@@ -78,72 +79,75 @@
         plan
     }
 
-    /// The nodes that may own each slice of records, best first.
+    /// Returns the candidate owners of each slice of records, highest rank first.
     pub(super) fn records(&self) -> BTreeMap<Seat, Vec<Instance>> {
         let mut all = BTreeMap::new();
-        for (pool, keepers) in &self.pools {
+        for (pool, owners) in &self.record_owners {
             for number in 0..record::SLICES {
                 let seat = record::slice(pool, number);
-                let mut ranked = keepers.clone();
-                ranked.sort_by_key(|instance| Reverse(score(&seat.0, instance)));
+                let mut ranked = owners.clone();
+                ranked.sort_by_key(|instance| Reverse(rendezvous_score(&seat.0, instance)));
                 all.insert(seat, ranked);
             }
         }
         all
     }
 
-    /// The node that should own a seat, and for higher ranks those that come
-    /// after it, round and round.
+    /// Returns the candidate owner of a seat at this rank. Rank 0 is the node that
+    /// should own the seat; ranks beyond the last candidate wrap around.
     pub(super) fn candidate(&self, seat: &Seat, rank: usize) -> Option<Instance> {
-        let mut ranked: Vec<&Instance> = self.keepers.iter().map(|(_, i)| i).collect();
-        ranked.sort_by_key(|instance| Reverse(score(&seat.0, instance)));
-        let place = rank.checked_rem(ranked.len())?;
-        ranked.get(place).map(|instance| (*instance).clone())
+        let mut ranked: Vec<&Instance> = self.quota_owners.iter().map(|(_, i)| i).collect();
+        ranked.sort_by_key(|instance| Reverse(rendezvous_score(&seat.0, instance)));
+        let index = rank.checked_rem(ranked.len())?;
+        ranked.get(index).map(|instance| (*instance).clone())
     }
 
-    /// In another failure domain where there is one, so that one loss does not
-    /// take owner and successor together.
+    /// Returns candidates for the successor of a node. Quota owners in other
+    /// failure domains come before those in its own, so that the loss of one
+    /// domain does not take both owner and successor.
     fn successors_of(&self, me: &Peer) -> Vec<Instance> {
-        let own = self.pools.get(&me.pool).into_iter().flatten();
-        let mates = own.filter(|i| **i != me.instance).cloned();
-        let others = self.keepers.iter().filter(|(_, i)| *i != me.instance);
+        let own = self.record_owners.get(&me.pool).into_iter().flatten();
+        let pool_peers = own.filter(|i| **i != me.instance).cloned();
+        let others = self.quota_owners.iter().filter(|(_, i)| *i != me.instance);
         let mut ranked: Vec<_> = others.collect();
         ranked.sort_by_key(|(domain, instance)| {
             let salt = format!("successor of {}", me.instance);
-            (*domain == me.domain, score(&salt, instance))
+            (*domain == me.domain, rendezvous_score(&salt, instance))
         });
-        // A node of the same pool can go on with its records too.
+        // Record owners of the same pool come first, because they can take over
+        // the records as well.
         let others = ranked.into_iter().map(|(_, instance)| instance.clone());
-        mates.chain(others).collect()
+        pool_peers.chain(others).collect()
     }
 }
 
-fn score(salt: &str, instance: &Instance) -> u64 {
+fn rendezvous_score(salt: &str, instance: &Instance) -> u64 {
     xxh3_64(format!("{salt} {instance}").as_bytes())
 }
 
-fn keepers(members: &Table) -> Vec<(Domain, Instance)> {
+fn select_quota_owners(members: &Table) -> Vec<(Domain, Instance)> {
     let alive = |peer: &&Peer| peer.status == Status::Alive;
     let mut ranked: Vec<&Peer> = members.iter().filter(alive).collect();
     ranked.sort_by_key(|peer| {
         let salt = format!("keeper of {}", peer.domain);
-        (peer.domain.clone(), score(&salt, &peer.instance))
+        (peer.domain.clone(), rendezvous_score(&salt, &peer.instance))
     });
     let domains = ranked.chunk_by(|a, b| a.domain == b.domain);
     let count = domains.clone().count().max(1);
-    let each = KEEPERS.div_ceil(count);
+    let each = MIN_QUOTA_OWNERS.div_ceil(count);
     domains
         .flat_map(|peers| peers.iter().take(each))
         .map(|peer| (peer.domain.clone(), peer.instance.clone()))
         .collect()
 }
 
-/// Two nodes of a pool, in different failure domains where there are two, own
-/// its records: store calls grow with pools, not with their nodes.
-fn pool_keepers(members: &Table, pool: &Pool) -> Vec<Instance> {
+/// Selects the two nodes that own the records of a pool, in different failure
+/// domains if possible. With a fixed number of owners, store calls grow with the
+/// number of pools instead of the number of nodes.
+fn select_record_owners(members: &Table, pool: &Pool) -> Vec<Instance> {
     let alive = |peer: &&Peer| peer.status == Status::Alive && peer.pool == *pool;
     let mut ranked: Vec<&Peer> = members.iter().filter(alive).collect();
-    ranked.sort_by_key(|peer| score(&format!("records of {pool}"), &peer.instance));
+    ranked.sort_by_key(|peer| rendezvous_score(&format!("records of {pool}"), &peer.instance));
     let Some(first) = ranked.first().copied() else {
         return Vec::new();
     };
