--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -200,7 +200,7 @@
     }
 
     /// Hands an attempt to the upstream.
-    pub(crate) fn start(&self, request: id::Request, token: id::Token, deadline: Time) {
+    pub(crate) fn start_attempt(&self, request: id::Request, token: id::Token, deadline: Time) {
         let (abort, aborted) = oneshot::channel();
         let Some(exchange) = self.exchange(request, token, deadline, abort) else {
             return self.on(Event::AttemptEnded(request, End::Aborted));
@@ -363,7 +363,7 @@
     }
 
     /// Closes the upstream's connection of an attempt.
-    pub(crate) fn abort(&self, request: id::Request) {
+    pub(crate) fn abort_attempt(&self, request: id::Request) {
         let mut running = self.running.borrow_mut();
         let started = running.get_mut(&request).and_then(|r| r.abort.take());
         drop(running);
@@ -373,7 +373,7 @@
     }
 
     /// Serves a kept answer to an attempt that is not started.
-    pub(crate) fn replay(&self, peer: &id::Instance, request: id::Request, whole: Whole) {
+    pub(crate) fn replay_answer(&self, peer: &id::Instance, request: id::Request, whole: Whole) {
         let outlet = Outlet::new();
         if let Some(running) = self.running.borrow_mut().get_mut(&request) {
             running.outlet = outlet.clone();
