--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -1,4 +1,4 @@
-//! Bodies and answers on their way through a node.
+//! Transfer of request bodies and answers through a node.
 
 use std::rc::Rc;
 
@@ -46,31 +46,31 @@
     pending::Source,
 };
 
-/// Time for the rest of a rejection to come.
-const REJECTION: Span = Span::from_ms(200);
+/// How long the rest of a rejection is read before its connection is given up.
+const REJECTION_DRAIN_TIMEOUT: Span = Span::from_ms(200);
 
-/// One body on its way to a peer.
-struct Sending {
+/// Sends one body to a peer.
+struct BodySender {
     peer: id::Instance,
     request: id::Request,
     side: Side,
     outlet: Rc<Outlet>,
 }
 
-/// Why a body that was being sent will not become whole.
-enum Fault {
-    /// Its source was cut.
-    Cut,
-    /// Its source sent nothing for too long.
-    Slow,
-    /// It is larger than it may be.
-    Large,
-    /// Nobody wants it any more.
+/// The reason why a body cannot be sent completely.
+enum BodyError {
+    /// The source ended before the body was complete.
+    SourceCut,
+    /// The source sent no data for too long.
+    Timeout,
+    /// The body exceeds its size limit.
+    TooLarge,
+    /// The receiver no longer needs the body.
     Unwanted,
 }
 
 impl Carrier {
-    /// Sends the body of a call after the head of an attempt.
+    /// Sends the body of a call. The head of the attempt was sent before.
     pub(crate) fn send_body(
         &self,
         call: id::Call,
@@ -78,7 +78,7 @@
         peer: id::Instance,
         outlet: Rc<Outlet>,
     ) {
-        let taken = self.with_call(call, |pending| match &mut pending.source {
+        let body = self.with_call(call, |pending| match &mut pending.source {
             Source::Held(bytes) => Source::Held(bytes.clone()),
             Source::Stream {
                 prefix,
@@ -90,17 +90,17 @@
                 limit: *limit,
             },
         });
-        let sending = Sending {
+        let sender = BodySender {
             peer,
             request,
             side: Side::Request,
             outlet,
         };
-        match taken {
-            Some(Source::Held(bytes)) if bytes.len() <= WINDOW => self.send_whole(&sending, bytes),
+        match body {
+            Some(Source::Held(bytes)) if bytes.len() <= WINDOW => self.send_whole(&sender, bytes),
             Some(Source::Held(bytes)) => {
                 let size = bytes.len() as u64;
-                self.send_stream(call, sending, size, stream::iter([Ok(bytes)]));
+                self.send_stream(call, sender, size, stream::iter([Ok(bytes)]));
             }
             Some(Source::Stream {
                 prefix,
@@ -109,79 +109,80 @@
             }) => {
                 let rest = rest.map(|chunk| chunk.map_err(|_| Cut));
                 let all = stream::iter([Ok(prefix)]).chain(rest);
-                self.send_stream(call, sending, limit, all);
+                self.send_stream(call, sender, limit, all);
             }
-            // A body that was streamed already cannot be sent again.
-            _ => self.transmit(&sending.peer, sending.cut()),
+            // The body was streamed to an earlier attempt and cannot be sent again.
+            _ => self.transmit(&sender.peer, sender.cut()),
         }
     }
 
-    /// Sends a body that fits into the window, without waiting.
-    fn send_whole(&self, sending: &Sending, bytes: Bytes) {
+    /// Sends a body that fits into the flow-control window, without waiting.
+    fn send_whole(&self, sender: &BodySender, bytes: Bytes) {
         let sum = xxh3_64(&bytes);
         let mut rest = bytes;
         while !rest.is_empty() {
-            let size = sending.outlet.take(CHUNK.min(rest.len()));
+            let size = sender.outlet.take(CHUNK.min(rest.len()));
             if size == 0 {
-                return self.transmit(&sending.peer, sending.cut());
+                return self.transmit(&sender.peer, sender.cut());
             }
-            self.transmit(&sending.peer, sending.chunk(rest.split_to(size)));
+            self.transmit(&sender.peer, sender.chunk(rest.split_to(size)));
         }
-        self.transmit(&sending.peer, sending.end(sum));
+        self.transmit(&sender.peer, sender.end(sum));
     }
 
-    /// Sends a caller's body as it comes in.
+    /// Sends a caller's body while it is being received.
     fn send_stream(
         &self,
         call: id::Call,
-        sending: Sending,
+        sender: BodySender,
         limit: u64,
         source: impl Stream<Item = Result<Bytes, Cut>> + 'static,
     ) {
         let weak = self.weak();
-        let patience = self.limits().body_time.to_std();
+        let chunk_timeout = self.limits().body_time.to_std();
         actix_rt::spawn(async move {
             let mut source = std::pin::pin!(source);
             let mut sum = Xxh3Default::new();
-            let mut sent = 0;
-            let fault = loop {
-                let chunk = match tokio::time::timeout(patience, source.next()).await {
-                    Err(_) => break Some(Fault::Slow),
+            let mut sent_bytes = 0;
+            let error = loop {
+                let chunk = match tokio::time::timeout(chunk_timeout, source.next()).await {
+                    Err(_) => break Some(BodyError::Timeout),
                     Ok(None) => break None,
-                    Ok(Some(Err(Cut))) => break Some(Fault::Cut),
+                    Ok(Some(Err(Cut))) => break Some(BodyError::SourceCut),
                     Ok(Some(Ok(chunk))) => chunk,
                 };
-                sent += chunk.len() as u64;
-                if sent > limit {
-                    break Some(Fault::Large);
+                sent_bytes += chunk.len() as u64;
+                if sent_bytes > limit {
+                    break Some(BodyError::TooLarge);
                 }
                 sum.update(&chunk);
                 let Some(carrier) = weak.upgrade() else {
                     return;
                 };
-                if carrier.send_chunk(&sending, chunk).await.is_err() {
-                    break Some(Fault::Unwanted);
+                if carrier.send_chunk(&sender, chunk).await.is_err() {
+                    break Some(BodyError::Unwanted);
                 }
             };
             let Some(carrier) = weak.upgrade() else {
                 return;
             };
-            match fault {
-                None => carrier.transmit(&sending.peer, sending.end(sum.digest())),
-                Some(Fault::Unwanted) => {}
-                Some(fault) => {
-                    carrier.transmit(&sending.peer, sending.cut());
-                    carrier.give_up(call, &fault);
+            match error {
+                None => carrier.transmit(&sender.peer, sender.end(sum.digest())),
+                Some(BodyError::Unwanted) => {}
+                Some(error) => {
+                    carrier.transmit(&sender.peer, sender.cut());
+                    carrier.fail_call(call, &error);
                 }
             }
         });
     }
 
-    /// A caller's body failed on the way. The attempt has begun, so its
-    /// outcome is unknown; it is cancelled, and the caller told at once.
-    fn give_up(&self, call: id::Call, fault: &Fault) {
-        let code = match fault {
-            Fault::Large => Code::BodyOverrun,
+    /// Refuses a call whose body failed during the transfer. The attempt has
+    /// started, so its outcome is unknown; it is cancelled, and the caller is
+    /// answered immediately.
+    fn fail_call(&self, call: id::Call, error: &BodyError) {
+        let code = match error {
+            BodyError::TooLarge => Code::BodyOverrun,
             _ => Code::BodyCut,
         };
         self.count(crate::metric::Counter::Refused(code));
@@ -189,20 +190,20 @@
         self.on(Event::CallerGone(call));
     }
 
-    /// Sends a chunk, in parts as the receiver has room.
-    async fn send_chunk(&self, sending: &Sending, mut chunk: Bytes) -> Result<(), Cut> {
+    /// Sends a chunk, split into parts for which the receiver has granted credit.
+    async fn send_chunk(&self, sender: &BodySender, mut chunk: Bytes) -> Result<(), Cut> {
         while !chunk.is_empty() {
-            let want = chunk.len().min(CHUNK);
-            let size = sending.outlet.reserve(want).await?;
-            self.transmit(&sending.peer, sending.chunk(chunk.split_to(size)));
+            let requested = chunk.len().min(CHUNK);
+            let size = sender.outlet.reserve(requested).await?;
+            self.transmit(&sender.peer, sender.chunk(chunk.split_to(size)));
         }
         Ok(())
     }
 
-    /// Hands an attempt to the upstream.
+    /// Sends an attempt to the upstream.
     pub(crate) fn start_attempt(&self, request: id::Request, token: id::Token, deadline: Time) {
         let (abort, aborted) = oneshot::channel();
-        let Some(exchange) = self.exchange(request, token, deadline, abort) else {
+        let Some(exchange) = self.prepare_exchange(request, token, deadline, abort) else {
             return self.on(Event::AttemptEnded(request, End::Aborted));
         };
         let weak = self.weak();
@@ -210,11 +211,11 @@
             let Some(carrier) = weak.upgrade() else {
                 return;
             };
-            // The exchange is dropped, and its connection closed, before the
-            // decisions hear that the slot is free.
+            // The exchange is dropped, and with it the connection closed, before the
+            // core learns that the slot is free.
             let end = tokio::select! {
                 _ = aborted => End::Aborted,
-                end = carrier.run(exchange) => end,
+                end = carrier.run_exchange(exchange) => end,
             };
             carrier.attempted(end);
             carrier.record_ended(request, end);
@@ -222,7 +223,7 @@
         });
     }
 
-    fn exchange(
+    fn prepare_exchange(
         &self,
         request: id::Request,
         token: id::Token,
@@ -239,17 +240,17 @@
         let mut context = running.context.clone();
         context.left = Clock.now().until(deadline);
         let target = self.target.borrow();
-        let told = header::Told {
+        let injected = header::Told {
             context: &context,
             token,
             target: target.as_deref(),
         };
-        header::add_context(&mut head, &told, &self.interface.names);
+        header::add_context(&mut head, &injected, &self.interface.names);
         Some(Exchange {
             head,
             inlet: running.inlet.clone(),
             claimed: running.claimed,
-            sending: Sending {
+            sender: BodySender {
                 peer: running.peer.clone(),
                 request,
                 side: Side::Answer,
@@ -258,8 +259,8 @@
         })
     }
 
-    /// Runs one attempt at the upstream, and relays its answer.
-    async fn run(&self, exchange: Exchange) -> End {
+    /// Runs one attempt at the upstream and relays its answer.
+    async fn run_exchange(&self, exchange: Exchange) -> End {
         let begun = Clock.now();
         let sent = self.upstream.send(&exchange.head, exchange.inlet).await;
         let mut answer = match sent {
@@ -270,99 +271,99 @@
             self.on(Event::UpstreamSignal(signal, begun));
         }
         if answer.rejected {
-            return self.rejected(&mut answer).await;
+            return self.drain_rejection(&mut answer).await;
         }
         let status = answer.head.status;
-        let first = match self.hold_answer(&mut answer).await {
-            Ok(first) => first,
+        let buffered = match self.buffer_answer(&mut answer).await {
+            Ok(buffered) => buffered,
             Err(Cut) => return End::Cut,
         };
         let head = answer.head.clone();
-        let sending = &exchange.sending;
-        self.send_head(sending, head.clone());
+        let sender = &exchange.sender;
+        self.send_head(sender, head.clone());
         match self
-            .relay(sending, &mut answer, first, exchange.claimed)
+            .relay_body(sender, &mut answer, buffered, exchange.claimed)
             .await
         {
-            Ok(kept) => {
-                if let Some(body) = kept {
+            Ok(captured) => {
+                if let Some(body) = captured {
                     let whole = Box::new(Whole { head, body });
-                    self.on(Event::AnswerCaptured(sending.request, whole));
+                    self.on(Event::AnswerCaptured(sender.request, whole));
                 }
                 End::Answered(status)
             }
             Err(Cut) => {
-                self.transmit(&sending.peer, sending.cut());
+                self.transmit(&sender.peer, sender.cut());
                 End::Cut
             }
         }
     }
 
-    /// Reads a rejection to its end, so that its connection can be used again.
-    async fn rejected(&self, answer: &mut Answer) -> End {
+    /// Reads a rejection to its end, so that its connection can be reused.
+    async fn drain_rejection(&self, answer: &mut Answer) -> End {
         let rest = async { while let Ok(Some(_)) = self.upstream.next(answer).await {} };
-        let _ = tokio::time::timeout(REJECTION.to_std(), rest).await;
+        let _ = tokio::time::timeout(REJECTION_DRAIN_TIMEOUT.to_std(), rest).await;
         End::Rejected
     }
 
-    /// Reads an answer to its end, or to the most that is held. One that is cut
-    /// before has shown nothing of itself to anybody.
-    async fn hold_answer(&self, answer: &mut Answer) -> Result<Vec<Bytes>, Cut> {
-        let most = self.interface.held_answer.as_u64();
-        let mut held = Vec::new();
+    /// Buffers an answer up to its end or the buffer limit. If the answer is cut
+    /// off before that, no part of it has been relayed.
+    async fn buffer_answer(&self, answer: &mut Answer) -> Result<Vec<Bytes>, Cut> {
+        let limit = self.interface.held_answer.as_u64();
+        let mut chunks = Vec::new();
         let mut size = 0;
-        while size < most {
+        while size < limit {
             let Some(chunk) = self.upstream.next(answer).await? else {
                 answer.head.length = Some(size);
                 break;
             };
             size += chunk.len() as u64;
-            held.push(chunk);
+            chunks.push(chunk);
         }
-        Ok(held)
+        Ok(chunks)
     }
 
-    fn send_head(&self, sending: &Sending, head: Head) {
-        let request = sending.request;
+    fn send_head(&self, sender: &BodySender, head: Head) {
+        let request = sender.request;
         let report = self.core_mut().report(Clock.now(), request);
         let frame = Frame::Answer {
             request,
             head,
             report,
         };
-        self.transmit(&sending.peer, frame);
+        self.transmit(&sender.peer, frame);
     }
 
-    /// Relays an answer's body, and returns a copy when that is wanted and the
-    /// body is small enough.
-    async fn relay(
+    /// Relays the body of an answer. Returns a copy of it if `capture` is set and
+    /// the body is at most [`KEPT_LIMIT`] bytes long.
+    async fn relay_body(
         &self,
-        sending: &Sending,
+        sender: &BodySender,
         answer: &mut Answer,
-        first: Vec<Bytes>,
-        keep: bool,
+        buffered: Vec<Bytes>,
+        capture: bool,
     ) -> Result<Option<Bytes>, Cut> {
         let mut sum = Xxh3Default::new();
-        let mut kept = keep.then(Vec::new);
-        let mut first = first.into_iter();
+        let mut captured = capture.then(Vec::new);
+        let mut buffered = buffered.into_iter();
         loop {
-            let next = match first.next() {
+            let next = match buffered.next() {
                 Some(chunk) => Some(chunk),
                 None => self.upstream.next(answer).await?,
             };
             let Some(chunk) = next else { break };
             sum.update(&chunk);
-            kept = kept.filter(|kept| kept.len() + chunk.len() <= KEPT_LIMIT);
-            if let Some(kept) = &mut kept {
-                kept.extend_from_slice(&chunk);
+            captured = captured.filter(|captured| captured.len() + chunk.len() <= KEPT_LIMIT);
+            if let Some(captured) = &mut captured {
+                captured.extend_from_slice(&chunk);
             }
-            self.send_chunk(sending, chunk).await?;
+            self.send_chunk(sender, chunk).await?;
         }
-        self.transmit(&sending.peer, sending.end(sum.digest()));
-        Ok(kept.map(Bytes::from))
+        self.transmit(&sender.peer, sender.end(sum.digest()));
+        Ok(captured.map(Bytes::from))
     }
 
-    /// Closes the upstream's connection of an attempt.
+    /// Closes the upstream connection of an attempt.
     pub(crate) fn abort_attempt(&self, request: id::Request) {
         let mut running = self.running.borrow_mut();
         let started = running.get_mut(&request).and_then(|r| r.abort.take());
@@ -372,32 +373,32 @@
         }
     }
 
-    /// Serves a kept answer to an attempt that is not started.
+    /// Serves a stored answer to an attempt that is not started.
     pub(crate) fn replay_answer(&self, peer: &id::Instance, request: id::Request, whole: Whole) {
         let outlet = Outlet::new();
         if let Some(running) = self.running.borrow_mut().get_mut(&request) {
             running.outlet = outlet.clone();
         }
-        let sending = Sending {
+        let sender = BodySender {
             peer: peer.clone(),
             request,
             side: Side::Answer,
             outlet,
         };
-        self.send_head(&sending, whole.head);
-        self.send_whole(&sending, whole.body);
+        self.send_head(&sender, whole.head);
+        self.send_whole(&sender, whole.body);
     }
 }
 
-/// What is handed to the upstream.
+/// An attempt prepared for the upstream.
 struct Exchange {
     head: Head,
     inlet: Rc<Inlet>,
     claimed: bool,
-    sending: Sending,
+    sender: BodySender,
 }
 
-impl Sending {
+impl BodySender {
     fn chunk(&self, bytes: Bytes) -> Frame {
         Frame::Chunk {
             request: self.request,
