--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -65,8 +65,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StoreCaller {
     Gossip,
-    Listed,
-    Rights,
+    Discovery,
+    Leases,
 }
 
 /// A state change that the server writes to its log.
@@ -268,9 +268,9 @@
     snapshot: document::Shared,
     members: member::Table,
     gossip: fleet::Gossip,
-    listed: Option<listed::Listed>,
+    discovery: Option<listed::Discovery>,
     quota: Holder,
-    rights: rights::Rights,
+    leases: rights::Leases,
     router: ingress::Router,
     proxy: inbound::Proxy,
     levels: Levels,
@@ -294,9 +294,9 @@
                 identity.peer.instance.clone(),
                 identity.seed.wrapping_add(2),
             ),
-            listed: None,
+            discovery: None,
             quota: Holder::new(identity.peer.instance.clone(), identity.peer.incarnation),
-            rights: rights::Rights::new(
+            leases: rights::Leases::new(
                 identity.peer.instance.clone(),
                 identity.peer.incarnation,
                 identity.seed.wrapping_add(1),
@@ -375,12 +375,12 @@
     /// [`Event::Tick`].
     pub fn due(&self) -> Time {
         let requests = self.router.due().min(self.proxy.due());
-        requests.min(self.listed_due())
+        requests.min(self.discovery_due())
     }
 
     /// Handles one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        if self.listed.is_none() {
+        if self.discovery.is_none() {
             self.gossip_advance_clock(now);
         }
         match event {
@@ -392,16 +392,16 @@
             }
             Event::OutboundLinkLost(peer) => {
                 self.run_router(now, ingress::Event::LinkLost(peer.clone()), out);
-                match self.listed.is_some() {
-                    true => self.listed_broken(now, &peer),
+                match self.discovery.is_some() {
+                    true => self.discovery_link_lost(now, &peer),
                     false => self.gossip_link_lost(now, &peer, out),
                 }
             }
-            Event::OutboundLinkOpened(peer) => self.listed_linked(&peer),
+            Event::OutboundLinkOpened(peer) => self.discovery_link_opened(&peer),
             Event::InboundLinkLost(peer) => self.run_proxy(now, inbound::Event::Broken(peer), out),
-            Event::AnswerCaptured(request, whole) => self.record_kept(request, whole),
+            Event::AnswerCaptured(request, whole) => self.store_record_answer(request, whole),
             Event::AttemptEnded(request, end) => {
-                self.record_ended(now, request, end, out);
+                self.record_attempt_ended(now, request, end, out);
                 self.run_proxy(now, inbound::Event::Ended(request, end), out)
             }
             Event::UpstreamReady(ready) => {
@@ -427,19 +427,21 @@
             Event::Datagram(from, message) => self.on_message(now, Some(from), message, out),
             Event::StoreAnswer(number, answer) => match self.pending_store_calls.remove(&number) {
                 Some(StoreCaller::Gossip) => self.gossip_store_answer(now, number, answer, out),
-                Some(StoreCaller::Listed) => self.listed_store(now, number, answer, out),
-                Some(StoreCaller::Rights) => self.rights_store(now, number, answer, out),
+                Some(StoreCaller::Discovery) => {
+                    self.discovery_store_answer(now, number, answer, out)
+                }
+                Some(StoreCaller::Leases) => self.leases_store_answer(now, number, answer, out),
                 None => {}
             },
             Event::Survey => self.survey(now, out),
             Event::Drain => {
                 self.draining.get_or_insert(now);
                 self.run_proxy(now, inbound::Event::Drain, out);
-                if self.listed.is_some() {
-                    return self.listed_drain(now);
+                if self.discovery.is_some() {
+                    return self.discovery_drain(now);
                 }
                 self.gossip_drain(now, out);
-                self.rights_drain(now, out);
+                self.leases_drain(now, out);
             }
             Event::Tick => self.on_tick(now, out),
         }
@@ -458,8 +460,8 @@
 
     /// Announces to the other nodes whether the upstream accepts requests.
     fn announce_readiness(&mut self, now: Time, ready: bool) {
-        match self.listed.is_some() {
-            true => self.listed_ready(now, ready),
+        match self.discovery.is_some() {
+            true => self.discovery_set_ready(now, ready),
             false => self.gossip_set_ready(now, ready),
         }
     }
@@ -468,16 +470,16 @@
         self.run_router(now, ingress::Event::Tick, out);
         self.run_proxy(now, inbound::Event::Tick, out);
         let idle = self.router.is_empty() && self.proxy.is_empty();
-        if self.listed.is_some() {
-            self.listed_tick(now, out);
-            if self.draining.is_some() && idle && self.listed_left(now) {
+        if self.discovery.is_some() {
+            self.discovery_tick(now, out);
+            if self.draining.is_some() && idle && self.discovery_finish_leaving(now) {
                 out.push(Action::Stop);
             }
             return;
         }
         self.gossip_tick(now, out);
-        self.rights_tick(now, out);
-        let released = idle && self.rights_over(now);
+        self.leases_tick(now, out);
+        let released = idle && self.leases_released(now);
         if self.draining.is_some() && released && self.gossip_finish_leaving(now, out) {
             out.push(Action::Stop);
         }
@@ -490,7 +492,7 @@
     /// that the node is leaving only from their next answer. After that they are
     /// refused immediately and can use any other node.
     fn leaving_refusal(&self, now: Time, origin: &Origin) -> Option<Code> {
-        if self.listed.is_some() {
+        if self.discovery.is_some() {
             // The platform stops sending callers once the readiness endpoint
             // reports not ready; calls that still arrive are served.
             return None;
@@ -502,8 +504,8 @@
 
     fn on_call(&mut self, now: Time, call: Call, out: &mut Vec<Action>) {
         let leaving_refusal = self.leaving_refusal(now, &call.origin);
-        let refusal = match self.listed.is_some() {
-            true => self.listed_refusal(),
+        let refusal = match self.discovery.is_some() {
+            true => self.discovery_refusal(),
             false => self.gossip_refusal(now, &call.origin),
         };
         if let Some(code) = leaving_refusal.or(refusal) {
@@ -544,7 +546,13 @@
                 ..
             } => {
                 if let Some(claim) = &claim
-                    && !self.guarded(now, &peer, request, (&route, &context, claim), out)
+                    && !self.admit_claimed_attempt(
+                        now,
+                        &peer,
+                        request,
+                        (&route, &context, claim),
+                        out,
+                    )
                 {
                     return;
                 }
@@ -559,7 +567,7 @@
                 self.run_proxy(now, event, out);
             }
             Frame::Hint(hint) => self.on_upstream_event(now, inbound::Event::Hint(hint), out),
-            Frame::Cancel { request } if self.record_runs(request) => {}
+            Frame::Cancel { request } if self.is_recorded_attempt_running(request) => {}
             Frame::Cancel { request } => {
                 self.run_proxy(now, inbound::Event::Cancel(peer, request), out);
             }
@@ -568,7 +576,7 @@
                 life,
                 left,
             } => {
-                if let Some(fate) = self.record_fate(request) {
+                if let Some(fate) = self.joined_attempt_fate(request) {
                     out.push(Action::Frame(peer, Frame::Fate { request, fate }));
                     return;
                 }
@@ -657,7 +665,7 @@
             snapshot: &self.snapshot,
             members: &self.members,
             quota: &mut self.quota,
-            records: &self.rights.directory,
+            records: &self.leases.record_directory,
             proxy: &mut self.proxy,
             levels: &mut self.levels,
             policy: self.policy,
@@ -667,9 +675,9 @@
         let mut actions = Vec::new();
         self.router.on(now, event, &mut world, &mut actions);
         out.extend(actions.into_iter().map(Action::from));
-        match self.listed.is_some() {
-            true => self.send_tokens(out),
-            false => self.rights_send(now, out),
+        match self.discovery.is_some() {
+            true => self.send_bank_messages(out),
+            false => self.send_quota_messages(now, out),
         }
     }
 
@@ -686,7 +694,7 @@
         self.proxy.on(now, event, &mut world, &mut actions);
         for action in actions {
             if let inbound::Action::Refuse(_, request, code, _) = &action {
-                self.record_refused(now, *request, *code, out);
+                self.record_attempt_refused(now, *request, *code, out);
             }
             match action {
                 inbound::Action::EndNestedCalls(orphaned) => {
