--- a/src/process/lease/base.rs
+++ b/src/process/lease/base.rs
@@ -32,6 +32,7 @@
 const CALL_TIMEOUT: Span = Span::from_ms(250);
 /// The store silence that a node assumes when it resumes after a pause.
 const ASSUMED_SILENCE_ON_RESUME: Span = Span::from_ms(600);
+/// Bounds of the backoff after lost calls.
 const INITIAL_BACKOFF: Span = Span::from_ms(250);
 const MAX_BACKOFF: Span = Span::from_secs(4);
 
--- a/src/process/lease/claim.rs
+++ b/src/process/lease/claim.rs
@@ -46,6 +46,7 @@
     },
 };
 
+/// An unanswered call blocks the next one for the same seat for this long.
 const CALL_TIMEOUT: Span = Span::from_ms(1500);
 /// Silence of an owner after which its successor checks the store often.
 const OWNER_SILENCE_THRESHOLD: Span = Span::from_ms(1200);
--- a/src/process/quota.rs
+++ b/src/process/quota.rs
@@ -1,10 +1,10 @@
-//! Rate and burst of a team, summed over the fleet.
+//! Fleet-wide rate and burst limits per team.
 //!
-//! A quota owner holds the team's token bucket. Other nodes, the holders, get
-//! small grants of tokens out of it, for a short time. Bucket and outstanding
-//! grants together never exceed the burst, and a token pays only for a request
-//! that begins before its grant ends. docs/design/quota.md argues why no window
-//! of time can therefore see more than rate and burst.
+//! The quota owner of a team holds its token bucket. Other nodes, the holders,
+//! receive small, short-lived grants of tokens from it. The bucket and all
+//! outstanding grants together never exceed the burst, and a token pays only
+//! for a request that begins before its grant expires. docs/design/quota.md
+//! argues why no time window can therefore see more than rate and burst allow.
 
 pub mod bank;
 mod bucket;
@@ -36,115 +36,115 @@
     lease::Epoch, //
 };
 
-/// The longest life of a grant.
+/// The longest lifetime of a grant.
 pub const MAX_GRANT_LIFE: Span = Span::from_ms(300);
-/// The shortest life of a grant that is of use.
+/// The shortest lifetime at which a grant is still useful.
 pub const MIN_GRANT_LIFE: Span = Span::from_ms(60);
 
-/// What became of a wish for one token.
+/// The result of trying to take one token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// Taken out of this grant.
+    /// The token was taken from this grant.
     Taken(Grant),
-    /// The quota owner was asked; try again when its answer is here.
+    /// The quota owner was asked; try again when its answer arrives.
     Pending,
-    /// The team is over its rate.
+    /// The team has exceeded its rate.
     OverRate,
-    /// No quota owner answers.
+    /// No quota owner can be reached.
     Unavailable,
 }
 
-/// The tokens of one grant, as owner and holder name them to each other.
+/// Identifies the tokens of one grant in messages between owner and holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BatchId {
-    /// The right under which it was made.
+    /// The ownership epoch under which it was granted.
     pub epoch: Epoch,
-    /// Its place under that right.
+    /// The sequence number within that epoch.
     pub sequence: u64,
 }
 
-/// What a holder says of a batch. As it tells totals, a repeated or overtaken
-/// message changes nothing.
+/// A holder's report on a batch. It carries totals, so repeated or reordered
+/// messages have no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Return {
-    /// The batch.
+    /// The batch reported on.
     pub batch: BatchId,
-    /// Tokens given back since it was granted.
+    /// Tokens given back since the batch was granted.
     pub unused: u32,
-    /// Tokens whose requests have certainly begun.
+    /// Tokens whose requests are known to have begun.
     pub begun: u32,
 }
 
-/// A holder's wish for tokens.
+/// A holder's request for tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Who asks.
+    /// The holder.
     pub from: Instance,
-    /// Its life.
+    /// The holder's incarnation.
     pub life: Incarnation,
-    /// Counts the holder's wishes; a repeat keeps its number.
+    /// Counts the holder's requests; a retry keeps its number.
     pub number: u64,
-    /// For which team.
+    /// The team the tokens are for.
     pub team: Team,
-    /// How many tokens.
+    /// Number of tokens requested.
     pub want: u32,
-    /// What it gives back on this occasion.
+    /// Reports on earlier batches, sent along.
     pub returns: Vec<Return>,
 }
 
 /// A quota owner's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Some tokens.
+    /// Tokens are granted.
     Granted {
-        /// Their name.
+        /// Identifies the granted tokens.
         batch: BatchId,
-        /// How many.
+        /// Number of tokens.
         tokens: u32,
-        /// How long, counted by the holder from when it asked.
+        /// Lifetime, counted by the holder from when it sent the request.
         life: Span,
-        /// The bucket is low: tell at once of tokens whose requests have begun.
+        /// The bucket is low: report immediately when requests have begun.
         scarce: bool,
     },
-    /// The bucket is empty for this long.
+    /// The bucket stays empty for this long.
     #[serde(rename = "Over")]
     OverRate(Span),
-    /// This node does not own the quota; that one may.
+    /// This node does not own the quota; the given one may.
     #[serde(rename = "Elsewhere")]
     NotOwner(Option<Instance>),
 }
 
-/// What quota owners and holders of grants tell each other.
+/// Messages between quota owners and holders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A holder wants tokens.
+    /// A holder requests tokens.
     Ask(Ask),
-    /// An answer.
+    /// An owner answers a request.
     Reply {
-        /// Who answers.
+        /// The answering node.
         from: Instance,
-        /// For which team.
+        /// The team.
         team: Team,
-        /// The wish it answers.
+        /// The number of the request answered.
         number: u64,
-        /// What it says.
+        /// The answer.
         reply: Reply,
     },
     /// A holder gives tokens back.
     Return(Team, Vec<Return>),
-    /// What a leaving owner had in its buckets, for its successor.
+    /// The buckets of an owner that leaves, for its successor.
     #[serde(rename = "Accounts")]
     Buckets(Vec<BucketSnapshot>),
 }
 
-/// One team's bucket, as a leaving owner hands it on when nothing that it
-/// granted is outstanding any more.
+/// One team's bucket, handed over by an owner that leaves once none of its
+/// grants is outstanding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketSnapshot {
     /// The team.
     pub team: Team,
-    /// The right under which it was kept.
+    /// The ownership epoch under which the bucket was kept.
     pub epoch: Epoch,
-    /// Thousandths of a token in the bucket.
+    /// Tokens in the bucket, in thousandths.
     pub millis: u64,
 }
--- a/src/process/quota/bank.rs
+++ b/src/process/quota/bank.rs
@@ -1,34 +1,37 @@
-//! Rates over the whole fleet, without owners and without calls to the store.
+//! Fleet-wide rates without owners and without store calls.
 //!
-//! Every team has three token servers, the first three of the nodes that the store
-//! lists, by rendezvous hashing. Each has the right to mint a third of the rate
-//! into a bucket of a third of the burst. While a team is asked for, later servers
-//! leave their parts to the first one, for a moment at a time: tokens in one bucket
-//! are worth more than the same tokens in three. When the first server dies the
-//! second one mints its own part and that of the third. A node that has a request
-//! of the team borrows a token from the first server, or else from the next.
+//! Every team has three token servers, the first three of the nodes listed in
+//! the store by rendezvous hashing. Each may mint one third of the rate, its
+//! part, into a bucket of one third of the burst. While a team is in demand,
+//! later servers delegate their parts to the first one, for a short time each:
+//! tokens in one bucket are worth more than the same tokens in three. When the
+//! first server dies, the second one mints its own part and that of the third.
+//! A node that has a request of the team borrows a token from the first server,
+//! or else from the next.
 //!
-//! # Why no window of time sees more than rate and burst
+//! # Why no time window sees more than rate and burst
 //!
-//! A node mints only while its own record in the store is confirmed, has been
-//! there for [`JOIN_DELAY`], and its view of all records is younger than [`MAX_VIEW_AGE`].
-//! So at any moment the nodes that mint for a team have all been listed for
-//! longer than any of their views is old, and each of them sees all the others.
-//! The last of them in the order of choice sees the others before itself, and
-//! mints only if it is among the first three: they are three at most.
+//! A node mints only while its own record in the store is confirmed and has
+//! been there for [`JOIN_DELAY`], and while its view of all records is younger
+//! than [`MAX_VIEW_AGE`]. So at any moment the nodes that mint for a team have
+//! all been listed for longer than any of their views is old, and each of them
+//! sees all the others. The last of them in hash order sees the others before
+//! itself, and mints only if it is among the first three: they are three at
+//! most.
 //!
-//! A part that is given away is given for no longer than the right to it lasts,
-//! counted by the earlier server from when it asked, by the later one from when it
-//! answered, and only when nothing lent out of it may still be used. A server whose
-//! place changes drops what it was given.
+//! A part is delegated for no longer than the right to it lasts, counted by the
+//! earlier server from when it asked and by the later one from when it
+//! answered, and only when nothing lent out of it can still be used. A server
+//! whose rank changes drops the parts that it accepted.
 //!
-//! What is lent counts against the bucket of its server for the life that the
-//! wish named, from when it was lent, and is void for its borrower when that time
-//! has passed since it asked. So tokens that can still be used are at most the
-//! burst, and those minted in a window are at most the rate times its length. A
-//! server whose right has ended drops what it holds; its successor begins with
-//! nothing. Only tokens that are given back count later: those of requests that
-//! were not run, and a fraction of a token on its way from one server to the other.
+//! A loan counts against the bucket of its server for the lifetime named in the
+//! request, from when it was lent, and is void for its borrower once that time
+//! has passed since it asked. So tokens that can still be used never exceed the
+//! burst, and those minted in a window never exceed the rate times its length.
+//! A server whose right has ended drops what it holds; its successor starts
+//! empty. Only tokens that are given back count later: those of requests that
+//! were not run, and a fraction of a token on its way from one server to the
+//! next.
 
 mod account;
 mod message;
@@ -74,21 +77,21 @@
     unit::Rate, //
 };
 
-/// How old the view of the listed nodes may be for a node that mints.
+/// The maximum age of the view of the listed nodes at which a node may mint.
 pub const MAX_VIEW_AGE: Span = Span::from_secs(4);
 /// How long a node must have been listed before it mints.
 pub const JOIN_DELAY: Span = Span::from_ms(4500);
-/// A server that left so many wishes in a row unanswered is passed over, and for
-/// how long. A single message may be lost.
+/// A server that left this many requests in a row unanswered is skipped for
+/// [`SILENT_SERVER_TIMEOUT`]. A single message may be lost.
 const MAX_UNANSWERED: u32 = 2;
 const SILENT_SERVER_TIMEOUT: Span = Span::from_secs(2);
-/// How long a part is given to an earlier server. One that dies is missed for this
-/// long, until the others mint their own parts again.
+/// How long a part is delegated to an earlier server. When that server dies,
+/// the parts are missing for this long, until the others mint their own again.
 const DELEGATION_LIFE: Span = Span::from_ms(600);
-/// Time after which a team without demand is forgotten.
+/// Time after which an idle team is forgotten.
 const ACCOUNT_IDLE_TIMEOUT: Span = Span::from_secs(30);
 
-/// Wishes that a server left unanswered since its last answer.
+/// Requests that a server left unanswered since its last answer.
 #[derive(Clone, Copy, Debug)]
 struct ServerSilence {
     unanswered: u32,
@@ -101,7 +104,7 @@
     }
 }
 
-/// This node's part in sharing all rates, as a borrower and as a server.
+/// This node's role in sharing all rates, as a borrower and as a token server.
 #[derive(Clone, Debug)]
 pub struct Bank {
     local: Peer,
@@ -110,7 +113,7 @@
     mint: Mint,
     borrowers: BTreeMap<Team, Borrower>,
     silences: BTreeMap<Instance, ServerSilence>,
-    /// When open questions for parts were sent.
+    /// When requests for parts were sent that are still open, by their number.
     part_requests: BTreeMap<u64, Time>,
     last_number: u64,
     outbox: Vec<(Instance, Message)>,
@@ -119,7 +122,8 @@
 impl Bank {
     /// A bank without teams and servers.
     pub fn new(local: Peer) -> Self {
-        // No number of an earlier life is used again: its answers may still come.
+        // Numbers of an earlier incarnation are not reused: answers to them may
+        // still arrive.
         let last_number = local.incarnation.0;
         Self {
             local,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Learns the teams.
+    /// Sets the teams.
     pub fn set_teams(&mut self, now: Time, teams: &[team::Team]) {
         self.limits = teams
             .iter()
@@ -145,7 +149,7 @@
         self.place_teams(now);
     }
 
-    /// Learns until when this node may mint, and among which nodes the servers
+    /// Sets until when this node may mint, and the nodes among which servers
     /// are chosen.
     pub fn update_nodes(&mut self, now: Time, until: Time, nodes: &[&Peer]) {
         self.mint.extend_right(now, until);
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Finds the servers of all teams.
+    /// Assigns servers to all teams.
     fn place_teams(&mut self, now: Time) {
         let me = &self.local.instance;
         let mut shares = BTreeMap::new();
@@ -177,8 +181,8 @@
         self.mint.set_shares(now, shares);
     }
 
-    /// Takes a token for one root request of the team, beside which these others
-    /// wait for one here.
+    /// Takes a token for one root request of the team, while the calls counted
+    /// by `others` also wait here for one.
     pub fn take(
         &mut self,
         now: Time,
@@ -218,13 +222,14 @@
         Charge::Taken(Grant(0))
     }
 
-    /// Whether the team is over its rate: no server had a token lately.
+    /// Whether the team has exceeded its rate: no server had a token recently.
     pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
         let borrower = self.borrowers.get(team);
         borrower.is_some_and(|borrower| borrower.is_over_rate(now))
     }
 
-    /// The time until the team has a token again, as far as its servers told.
+    /// The time until the team has a token again, as far as its servers
+    /// reported.
     pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
         let borrower = self.borrowers.get(team);
         borrower.map_or(Span::ZERO, |borrower| borrower.time_until_token(now))
@@ -235,15 +240,15 @@
         self.placement.servers(team)
     }
 
-    /// Gives a token back, as its request was not run.
+    /// Gives a token back because its request was not run.
     pub fn give_back(&mut self, team: &Team) {
         if let Some(borrower) = self.borrowers.get_mut(team) {
             borrower.give_back();
         }
     }
 
-    /// Takes a message, and says for which team those who wait should try
-    /// again.
+    /// Handles a message. Returns the team, if any, whose waiting requests
+    /// should try again.
     pub fn on_message(&mut self, now: Time, message: Message) -> Option<Team> {
         match message {
             Message::Deposit(tokens) => {
@@ -305,9 +310,9 @@
         }
     }
 
-    /// Gives tokens back, gives up wishes without an answer, and lists the teams
-    /// whose waiting requests should try again. `waiting` tells how many of each
-    /// team wait here.
+    /// Returns tokens, gives up unanswered requests, and returns the teams
+    /// whose waiting requests should try again. `waiting` tells how many calls
+    /// of each team wait here.
     pub fn tick(&mut self, now: Time, waiting: &BTreeMap<Team, WaitingCounts>) -> Vec<Team> {
         self.silences
             .retain(|_, silence| now.since(silence.last) < SILENT_SERVER_TIMEOUT);
@@ -346,7 +351,7 @@
         waiting_teams
     }
 
-    /// Messages to be sent.
+    /// Removes and returns the messages to be sent.
     pub fn outbox(&mut self) -> Vec<(Instance, Message)> {
         std::mem::take(&mut self.outbox)
     }
@@ -378,7 +383,8 @@
         }
     }
 
-    /// Asks servers for what a team lacks here, this node itself without a message.
+    /// Borrows what a team lacks here from its servers; if this node is the
+    /// server, without a message.
     fn borrow(&mut self, now: Time, team: &Team) {
         let Some(borrower) = self.borrowers.get_mut(team) else {
             return;
--- a/src/process/quota/bank/account.rs
+++ b/src/process/quota/bank/account.rs
@@ -17,24 +17,25 @@
     quota::bucket::MILLIS_PER_TOKEN,
 };
 
-/// How long tokens may be used that calls wait for, and that are borrowed ahead.
+/// Lifetime of tokens borrowed for waiting calls, and of those borrowed ahead.
 /// They count against their server's bucket for as long.
 const WAITING_LOAN_LIFE: Span = Span::from_ms(40);
 const PREFETCH_LOAN_LIFE: Span = Span::from_ms(150);
-/// Time before the end of a loan at which the rest is given back.
+/// Time before the end of a loan at which the rest is returned.
 const RETURN_BEFORE_END: Span = Span::from_ms(20);
-/// A node borrows when what it holds lasts no longer than this many seconds.
+/// A node borrows when its tokens last no longer than this many seconds.
 const RESERVE_SECONDS: f64 = 0.1;
-/// It borrows ahead for so many seconds of its demand.
+/// It borrows ahead for this many seconds of its demand.
 const PREFETCH_SECONDS: f64 = 0.1;
-/// An unanswered wish is given up after this.
+/// An unanswered request is given up after this.
 pub(super) const ANSWER_TIMEOUT: Span = Span::from_ms(60);
-/// The least and the longest time before a server without tokens is asked again.
+/// Bounds of the time before a server without tokens is asked again.
 const MIN_PAUSE: Span = Span::from_ms(20);
 const MAX_PAUSE: Span = Span::from_ms(100);
-/// The time before a server is asked again that mints nothing now.
+/// The time before a server is asked again that does not mint now.
 const NOT_SERVING_PAUSE: Span = Span::from_ms(250);
-/// How long the refusal of a server proves that a team is over its rate.
+/// How long a server's refusal counts as evidence that a team has exceeded its
+/// rate.
 const OVER_RATE_MEMORY: Span = Span::from_ms(500);
 /// How often demand is measured, and the weight of the newest measurement.
 const DEMAND_WINDOW: Span = Span::from_ms(200);
@@ -42,33 +43,33 @@
 
 const IMPORTANCE_COUNT: usize = Importance::ALL.len();
 
-/// Calls that wait for a token, by their importance.
+/// The number of calls that wait for a token, by importance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitingCounts([u32; IMPORTANCE_COUNT]);
 
 impl WaitingCounts {
-    /// Adds one.
+    /// Adds one call.
     pub fn add(&mut self, importance: Importance) {
         self.0[importance as usize] += 1;
     }
 
-    /// Takes one out.
+    /// Removes one call.
     pub fn remove(&mut self, importance: Importance) {
         let count = &mut self.0[importance as usize];
         *count = count.saturating_sub(1);
     }
 
-    /// How many of this importance wait.
+    /// The number of waiting calls of this importance.
     pub fn count(&self, importance: Importance) -> u32 {
         self.0[importance as usize]
     }
 
-    /// Whether none waits.
+    /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|count| *count == 0)
     }
 
-    /// The importances of those that wait, highest first.
+    /// The importances of the waiting calls, highest first.
     fn importances(&self) -> impl Iterator<Item = Importance> {
         let all = Importance::ALL.into_iter().rev();
         all.filter(|importance| self.count(*importance) > 0)
@@ -81,7 +82,7 @@
     server: Instance,
     tokens: u32,
     end: Time,
-    /// The least importance that may use it.
+    /// The lowest importance that may use them.
     min_importance: Importance,
 }
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// A wish without an answer.
+/// A request that is not answered yet.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     number: u64,
@@ -105,11 +106,12 @@
 #[derive(Clone, Debug)]
 struct KnownServer {
     instance: Instance,
-    /// Until when asking is of no use, by importance.
+    /// Until when asking is pointless, by importance.
     paused_until: [Time; IMPORTANCE_COUNT],
-    /// When it last had no token, and when it will have one.
+    /// When it last reported that it had no token, and when it expects to have
+    /// one.
     last_empty: Option<(Time, Time)>,
-    /// When it last said that it mints none.
+    /// When it last reported that it does not mint.
     last_not_serving: Option<Time>,
 }
 
@@ -119,7 +121,8 @@
     servers: Vec<KnownServer>,
     loans: Vec<Loan>,
     pending: Option<PendingRequest>,
-    /// A part of a token that a server without a whole one had.
+    /// A fraction of a token, in thousandths, from a server that had no whole
+    /// one.
     fraction: u64,
     /// Tokens whose requests were not run.
     returned: u32,
@@ -148,7 +151,8 @@
         borrower
     }
 
-    /// Goes by these servers from now on, in this order.
+    /// Replaces the servers, in the order in which they are asked, and keeps
+    /// what is known of them.
     pub(super) fn set_servers(&mut self, servers: Vec<Instance>) {
         let mut previous = std::mem::take(&mut self.servers);
         for instance in servers {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Takes a token that is here.
+    /// Takes a token that is available here.
     pub(super) fn take(&mut self, now: Time, importance: Importance) -> bool {
         self.last_used = now;
         let usable = |loan: &&mut Loan| loan.fits(now, importance);
@@ -172,7 +176,7 @@
         true
     }
 
-    /// Whether the most important of those that wait would get a token.
+    /// Whether the most important waiting calls would get a token.
     pub(super) fn can_take(&self, now: Time) -> bool {
         let first = self.waiting.importances().next();
         first.is_some_and(|first| self.loans.iter().any(|loan| loan.fits(now, first)))
@@ -190,21 +194,21 @@
         self.returned += 1;
     }
 
-    /// Whether every server of the team had no token lately.
+    /// Whether no server of the team had a token recently.
     pub(super) fn is_over_rate(&self, now: Time) -> bool {
         let is_empty = |server: &KnownServer| server.last_empty.is_some();
         let servers = &self.servers;
         servers.iter().any(is_empty) && servers.iter().all(|server| server.has_no_tokens(now))
     }
 
-    /// The time until a server has a token again, as far as they told.
+    /// The time until a server has a token again, as far as they reported.
     pub(super) fn time_until_token(&self, now: Time) -> Span {
         let ready = self.servers.iter().filter_map(|server| server.last_empty);
         let first = ready.map(|(_, ready)| ready).min();
         first.map_or(Span::ZERO, |ready| now.until(ready))
     }
 
-    /// The next wish and the server that it goes to, unless one is under way.
+    /// The next request and the server it goes to, unless one is in flight.
     pub(super) fn next_request(
         &mut self,
         now: Time,
@@ -224,7 +228,8 @@
             .servers
             .iter()
             .partition(|server| is_silent(&server.instance));
-        // A silent one may still have what no other mints.
+        // A silent server may still have tokens when no other one mints, so it
+        // is asked only then.
         let is_not_serving = |server: &&KnownServer| {
             server
                 .last_not_serving
@@ -257,9 +262,9 @@
         Some((server, request))
     }
 
-    /// What to borrow, and for which importance: for the most important calls that
-    /// wait, else ahead. Nothing is borrowed ahead that would likely not be used in
-    /// time, or while servers have none.
+    /// How many tokens to borrow, and for which importance: for the most
+    /// important waiting calls, otherwise ahead. Nothing is borrowed ahead that
+    /// would probably not be used in time, or while servers have no tokens.
     fn needed(&self, now: Time) -> Option<(Importance, u32)> {
         let ahead = self.demand * PREFETCH_SECONDS;
         let scarce = self.servers.iter().any(|server| {
@@ -285,7 +290,8 @@
         usable.map(|loan| loan.tokens).sum()
     }
 
-    /// Takes the answer to the open wish, and names the server that gave it.
+    /// Handles the answer to the open request, and returns the server that sent
+    /// it.
     pub(super) fn on_reply(
         &mut self,
         now: Time,
@@ -312,14 +318,15 @@
         Some(pending.server)
     }
 
-    /// Gives up a wish that got no answer, and names the silent server.
+    /// Gives up a request that got no answer, and returns the silent server.
     pub(super) fn take_overdue(&mut self, now: Time) -> Option<Instance> {
         let late = |pending: &mut PendingRequest| now.since(pending.sent_at) >= ANSWER_TIMEOUT;
         self.pending.take_if(late).map(|pending| pending.server)
     }
 
-    /// What goes back to servers: loans that will hardly be used in time, tokens
-    /// whose requests were not run, and a fraction that no server asked for.
+    /// Removes what goes back to servers: loans that will hardly be used in
+    /// time, tokens whose requests were not run, and a fraction that no pending
+    /// request carries.
     pub(super) fn take_returns(&mut self, now: Time) -> Vec<(Instance, u64)> {
         let mut returns = Vec::new();
         let over = |loan: &mut Loan| loan.tokens == 0 || now + RETURN_BEFORE_END >= loan.end;
@@ -349,7 +356,7 @@
         }
     }
 
-    /// Whether nothing was asked of it for this long.
+    /// Whether it has not been used for this long.
     pub(super) fn is_idle(&self, now: Time, span: Span) -> bool {
         now.since(self.last_used) >= span && self.pending.is_none() && self.loans.is_empty()
     }
@@ -365,7 +372,7 @@
         }
     }
 
-    /// Whether it had no token lately, or none that it might mint.
+    /// Whether it reported recently that it has no token or does not mint.
     fn has_no_tokens(&self, now: Time) -> bool {
         let empty = self.last_empty.map(|(at, _)| at);
         empty
@@ -389,7 +396,7 @@
                 NOT_SERVING_PAUSE
             }
         };
-        // What a server lacks for one importance it lacks for lesser ones.
+        // What a server lacks for one importance it lacks for lower ones too.
         self.paused_until[..=importance as usize].fill(now + pause);
     }
 }
--- a/src/process/quota/bank/message.rs
+++ b/src/process/quota/bank/message.rs
@@ -1,7 +1,7 @@
-//! What token servers and the nodes that borrow from them tell each other.
+//! Messages between token servers and the nodes that borrow from them.
 //!
-//! Names of fields are one letter on the wire: a borrowed token costs two of
-//! these messages.
+//! Field names are one letter on the wire, because a borrowed token costs two
+//! of these messages.
 
 use serde::{
     Deserialize,
@@ -17,92 +17,92 @@
     },
 };
 
-/// One message about the tokens of teams.
+/// A message about the tokens of teams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Tokens given back, in thousandths.
     Deposit(Vec<(Team, u64)>),
-    /// A node lacks tokens.
+    /// A node requests tokens.
     Borrow {
-        /// Who asks.
+        /// The borrower.
         #[serde(rename = "f")]
         from: Instance,
-        /// The wish.
+        /// The request.
         #[serde(rename = "w")]
         request: BorrowRequest,
     },
-    /// The answer to a wish.
+    /// The answer to a [`Message::Borrow`].
     Lend {
-        /// For which team.
+        /// The team.
         #[serde(rename = "t")]
         team: Team,
-        /// The wish.
+        /// The number of the request answered.
         #[serde(rename = "n")]
         number: u64,
-        /// What is lent.
+        /// The answer.
         #[serde(rename = "l")]
         reply: LendReply,
     },
-    /// An earlier server of these teams wants the parts of a later one.
+    /// An earlier server asks a later one for its parts of these teams' rates.
     WantParts {
-        /// Who asks.
+        /// The earlier server.
         #[serde(rename = "f")]
         from: Instance,
-        /// Counts the wishes of the asker.
+        /// Counts the requests of the sender.
         #[serde(rename = "n")]
         number: u64,
         /// The teams.
         #[serde(rename = "t")]
         teams: Vec<Team>,
     },
-    /// A later server gives parts away.
+    /// A later server delegates parts.
     Parts {
-        /// Who gives.
+        /// The later server.
         #[serde(rename = "f")]
         from: Instance,
-        /// The wish.
+        /// The number of the request answered.
         #[serde(rename = "n")]
         number: u64,
-        /// What it gives.
+        /// The parts.
         #[serde(rename = "p")]
         parts: Vec<DelegatedPart>,
     },
 }
 
-/// A part of a team's rate that a server leaves to an earlier one.
+/// A part of a team's rate that a server delegates to an earlier one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegatedPart {
     /// The team.
     #[serde(rename = "t")]
     pub team: Team,
-    /// For how long, counted by the earlier server from when it asked.
+    /// Duration, counted by the earlier server from when it asked.
     #[serde(rename = "l")]
     pub life: Span,
-    /// What was in the bucket, in thousandths.
+    /// The content of the bucket, in thousandths of a token.
     #[serde(rename = "m")]
     pub millis: u64,
 }
 
-/// A wish for tokens.
+/// A request for tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BorrowRequest {
-    /// For which team.
+    /// The team.
     #[serde(rename = "t")]
     pub team: Team,
-    /// Counts the wishes of the asker.
+    /// Counts the requests of the sender.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Whole tokens.
+    /// The number of whole tokens.
     #[serde(rename = "w")]
     pub want: u32,
-    /// The importance of the requests that they are for.
+    /// The importance of the calls that the tokens are for.
     #[serde(rename = "i")]
     pub importance: Importance,
-    /// Thousandths of a token that another server had left, for this one to
-    /// make up a whole token with.
+    /// Thousandths of a token left over at another server, which this one may
+    /// complete to a whole token.
     #[serde(rename = "b")]
     pub brought_millis: u64,
-    /// How long what is lent may be used: by the asker from when it asked, by the
+    /// Lifetime of the loan: counted by the borrower from when it asked, by the
     /// server from when it lent.
     #[serde(rename = "u")]
     pub life: Span,
@@ -111,14 +111,14 @@
     pub last: bool,
 }
 
-/// A server's answer to a wish.
+/// A server's answer to a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LendReply {
-    /// Whole tokens.
+    /// The number of whole tokens.
     #[serde(rename = "k")]
     pub tokens: u32,
-    /// Thousandths of a token that are left over: for the next server, where there
-    /// is no whole one, or because there was no room for them.
+    /// Thousandths of a token left over: to be offered to the next server where
+    /// there is no whole token, or because the bucket had no room for them.
     #[serde(rename = "f")]
     pub fraction: u64,
     /// The time until the server has a whole token for this importance.
--- a/src/process/quota/bank/mint.rs
+++ b/src/process/quota/bank/mint.rs
@@ -1,4 +1,4 @@
-//! The server's side: the parts of rates that this node mints, and lends.
+//! The server's side: the parts of rates that this node mints and lends.
 
 use std::collections::{
     BTreeMap,
@@ -30,36 +30,39 @@
     unit::Rate,
 };
 
-/// The time between two requests for parts, and the rest of a part's time at which
-/// it is asked for again. A server that had lent just now gives at the next request.
+/// The time between two requests for parts, the remaining time at which a part
+/// is requested again, and how long a server stops lending so that it can
+/// delegate its part at the next request.
 const REQUEST_INTERVAL: Span = Span::from_ms(80);
 const DELEGATION_RENEWAL: Span = Span::from_ms(300);
 const LENDING_PAUSE: Span = Span::from_ms(200);
-/// How long a team must be without wishes before its parts are minted apart again.
+/// How long a team must be without requests before its servers mint their parts
+/// separately again.
 const DELEGATION_IDLE_TIMEOUT: Span = Span::from_secs(5);
-/// How long a wish tells what more important requests will need.
+/// How long a request counts as an indication of what more important calls will
+/// need.
 const DEMAND_MEMORY: Span = Span::from_ms(500);
-/// How long a wish that got nothing counts as one that comes back soon.
+/// How long a request that got nothing counts as one that will be retried soon.
 const CONTENTION_WINDOW: Span = Span::from_ms(100);
-/// The part of a bucket that is kept at most for more important requests.
+/// At most this fraction of a bucket is reserved for more important calls.
 const MAX_RESERVE_DIVISOR: u64 = 4;
-/// The longest wait that an answer tells.
+/// The longest wait that an answer reports.
 const MAX_WAIT: Span = Span::from_secs(5);
 
-/// What a node serves of a team: one part of as many as there are servers.
+/// This node's share of a team: one of as many parts as there are servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ServerShare {
-    /// Its place among the servers.
+    /// Its rank among the servers.
     pub(super) rank: usize,
-    /// The servers after it, which it asks for their parts.
+    /// The servers of lower rank, which it asks for their parts.
     pub(super) later_servers: Vec<Instance>,
     /// The team's whole rate.
     pub(super) rate: Rate,
-    /// The team's whole burst, in thousandths.
+    /// The team's whole burst, in thousandths of a token.
     pub(super) burst: u64,
 }
 
-/// A wish that was answered.
+/// A request that was answered.
 #[derive(Clone, Copy, Debug)]
 struct AnsweredRequest {
     at: Time,
@@ -76,12 +79,12 @@
     share: ServerShare,
     bucket: Bucket,
     answered: VecDeque<AnsweredRequest>,
-    /// Until when it has the parts of later servers too.
+    /// Later servers whose parts it has accepted, and until when.
     accepted_parts: BTreeMap<Instance, Time>,
-    /// Until when its own part is given away, and to whom.
+    /// Until when its own part is delegated, and to which server.
     delegated_until: Time,
     delegated_to: Option<Instance>,
-    /// Until when it lends nothing, so that it can give its part away.
+    /// Until when it lends nothing, so that it can delegate its part.
     lending_paused_until: Time,
     last_request: Time,
     refilled_at: Time,
@@ -96,12 +99,12 @@
 }
 
 impl Mint {
-    /// Learns until when this node has the right to mint. What it holds is void
-    /// when the right has ended meanwhile.
+    /// Sets until when this node may mint. Drops all tokens if its right had
+    /// ended in between.
     pub(super) fn extend_right(&mut self, now: Time, until: Time) {
-        let lapsed = now >= self.until;
+        let expired = now >= self.until;
         for server_bucket in self.buckets.values_mut() {
-            match lapsed {
+            match expired {
                 true => server_bucket.reset(now),
                 false => server_bucket.refill(now),
             }
@@ -109,7 +112,7 @@
         self.until = until;
     }
 
-    /// Learns which teams this node serves. Buckets of new ones are empty.
+    /// Sets the teams that this node serves. Buckets of new ones are empty.
     pub(super) fn set_shares(&mut self, now: Time, shares: BTreeMap<Team, ServerShare>) {
         self.buckets.retain(|team, _| shares.contains_key(team));
         for (team, share) in shares {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Answers a wish.
+    /// Answers a request for tokens.
     pub(super) fn lend(&mut self, now: Time, request: &BorrowRequest) -> LendReply {
         match self
             .active_bucket(now, &request.team)
@@ -144,7 +147,8 @@
         }
     }
 
-    /// The servers to ask for their parts now, of teams that are asked for.
+    /// The servers to ask for their parts now, with the teams that are in
+    /// demand.
     pub(super) fn wanted_parts(&mut self, now: Time) -> BTreeMap<Instance, Vec<Team>> {
         let mut requested: BTreeMap<Instance, Vec<Team>> = BTreeMap::new();
         if now < self.next_request || now >= self.until {
@@ -176,8 +180,8 @@
         requested
     }
 
-    /// Gives the parts of these teams to an earlier server, as far as nothing lent
-    /// out of them may still be used.
+    /// Delegates the parts of these teams to an earlier server, unless
+    /// something lent out of them may still be used.
     pub(super) fn delegate(
         &mut self,
         now: Time,
@@ -197,7 +201,7 @@
         given.collect()
     }
 
-    /// Takes the part of a later server, which this one asked for at a time.
+    /// Accepts the part of a later server, which this one requested at `asked`.
     pub(super) fn accept_part(
         &mut self,
         now: Time,
@@ -223,7 +227,7 @@
         }
     }
 
-    /// The tokens of a team, if this node may mint them now.
+    /// A team's bucket, if this node may mint now.
     fn active_bucket(&mut self, now: Time, team: &Team) -> Option<&mut ServerBucket> {
         match now < self.until {
             true => self.buckets.get_mut(team),
@@ -253,7 +257,7 @@
         self.accepted_parts.clear();
     }
 
-    /// Goes by another share from now on. A server at another place begins anew.
+    /// Replaces the share. A server whose rank changes starts empty.
     fn set_share(&mut self, now: Time, share: ServerShare) {
         self.refill(now);
         if self.share.rank != share.rank {
@@ -269,7 +273,8 @@
         now >= self.delegated_until && now >= self.lending_paused_until
     }
 
-    /// Mints up to a time, step by step: the room is less until each loan has ended.
+    /// Mints up to `now`, stepwise: a loan reduces the free capacity until it
+    /// ends.
     fn refill(&mut self, now: Time) {
         let last = self.refilled_at;
         let between = |at: &Time| *at > last && *at < now;
@@ -286,7 +291,7 @@
         self.refilled_at = now;
     }
 
-    /// How many parts are minted here.
+    /// The number of parts minted here.
     fn part_count(&self, now: Time) -> u64 {
         let others = self.accepted_parts.values().filter(|until| now <= **until);
         1 + others.count() as u64
@@ -302,7 +307,7 @@
         self.share.burst * self.part_count(now) / SERVERS as u64
     }
 
-    /// What the bucket may hold beside what is lent and may still be used.
+    /// What the bucket may hold in addition to loans that may still be used.
     fn free_capacity(&self, now: Time) -> u64 {
         let usable = |request: &&AnsweredRequest| now.since(request.at) <= request.life;
         let lent = self.answered.iter().filter(usable);
@@ -310,7 +315,7 @@
         self.cap(now).saturating_sub(lent)
     }
 
-    /// Puts thousandths into the bucket, and returns how many there was room for.
+    /// Adds thousandths to the bucket, and returns how many there was room for.
     fn add(&mut self, now: Time, millis: u64) -> u64 {
         let before = self.bucket.millis();
         let free_capacity = self.free_capacity(now);
@@ -337,7 +342,8 @@
             at: now,
             importance: request.importance,
             requested: request.want,
-            // What was brought is counted anew, as its loan begins now.
+            // What the request brought counts again, because its loan begins
+            // now.
             millis: lent.max(tokens * MILLIS_PER_TOKEN),
             life: request.life.min(DEMAND_MEMORY),
         });
@@ -356,7 +362,8 @@
         }
     }
 
-    /// Thousandths for which others that got none will come back before this one.
+    /// Thousandths needed by other requests that got nothing and will be
+    /// retried before this one.
     fn contended_millis(&self, now: Time, importance: Importance) -> u64 {
         let recent = self.answered.iter().rev();
         let recent = recent.take_while(|request| now.since(request.at) <= CONTENTION_WINDOW);
@@ -366,9 +373,10 @@
         recent.filter(refused).count() as u64 * MILLIS_PER_TOKEN
     }
 
-    /// Gives its part to an earlier server; for how long, and what is in it. While
-    /// anything lent out of it may still be used, it lends no more.
-    fn delegate(&mut self, now: Time, right: Time, to: &Instance) -> Option<(Span, u64)> {
+    /// Delegates the part to an earlier server; returns the duration and the
+    /// content of the bucket. While anything lent out of the part may still be
+    /// used, stops lending instead.
+    fn delegate(&mut self, now: Time, right_until: Time, to: &Instance) -> Option<(Span, u64)> {
         let is_delegated = now < self.delegated_until;
         let to_another = is_delegated && self.delegated_to.as_ref() != Some(to);
         if self.share.rank == 0 || to_another {
@@ -388,7 +396,7 @@
                 self.bucket.millis()
             }
         };
-        let until = right.min(now + DELEGATION_LIFE);
+        let until = right_until.min(now + DELEGATION_LIFE);
         self.delegated_until = self.delegated_until.max(until);
         self.delegated_to = Some(to.clone());
         self.lending_paused_until = Time::ZERO;
@@ -405,8 +413,9 @@
         }
     }
 
-    /// Thousandths kept for those above an importance: as many as they asked for
-    /// lately, so that nothing is kept where they lack no tokens.
+    /// Thousandths reserved for calls above this importance: as many as they
+    /// requested recently, so that nothing is reserved where they lack no
+    /// tokens.
     fn reserved_millis(&self, now: Time, importance: Importance) -> u64 {
         let above = self.answered.iter().filter(|a| a.importance > importance);
         let requested: u64 = above.map(|answered| u64::from(answered.requested)).sum();
--- a/src/process/quota/bank/placement.rs
+++ b/src/process/quota/bank/placement.rs
@@ -10,7 +10,7 @@
     member::Peer,
 };
 
-/// Token servers of a team.
+/// Number of token servers of a team.
 pub(super) const SERVERS: usize = 3;
 
 #[derive(Clone, Debug)]
@@ -26,13 +26,13 @@
 }
 
 impl Placement {
-    /// Whether these are the nodes known already.
+    /// Whether these are the current nodes.
     pub(super) fn has_nodes(&self, nodes: &[&Peer]) -> bool {
         let known = self.nodes.iter().map(|node| &node.instance);
         self.nodes.len() == nodes.len() && known.eq(nodes.iter().map(|peer| &peer.instance))
     }
 
-    /// Goes by these nodes from now on.
+    /// Replaces the nodes.
     pub(super) fn set_nodes(&mut self, nodes: &[&Peer]) {
         let node = |peer: &&Peer| Node {
             hash: xxh3_64(peer.instance.as_str().as_bytes()),
@@ -41,8 +41,8 @@
         self.nodes = nodes.iter().map(node).collect();
     }
 
-    /// The servers of a team, best first. All nodes that know the same nodes choose
-    /// the same.
+    /// The servers of a team, best first. Nodes with the same view choose the
+    /// same servers.
     pub(super) fn servers(&self, team: &Team) -> Vec<Instance> {
         let team = xxh3_64(team.as_str().as_bytes());
         let mut ranked: Vec<(u64, &Node)> = Vec::with_capacity(SERVERS + 1);
@@ -59,9 +59,9 @@
     }
 }
 
-fn combine_hashes(one: u64, other: u64) -> u64 {
+fn combine_hashes(node: u64, team: u64) -> u64 {
     let mut bytes = [0; 16];
-    bytes[..8].copy_from_slice(&one.to_le_bytes());
-    bytes[8..].copy_from_slice(&other.to_le_bytes());
+    bytes[..8].copy_from_slice(&node.to_le_bytes());
+    bytes[8..].copy_from_slice(&team.to_le_bytes());
     xxh3_64(&bytes)
 }
--- a/src/process/quota/bucket.rs
+++ b/src/process/quota/bucket.rs
@@ -1,14 +1,15 @@
-//! A token bucket in whole thousandths.
+//! A token bucket that counts in thousandths of a token, without rounding
+//! errors.
 
 use crate::{
     clock::Time,
     unit::Rate, //
 };
 
-/// Thousandths of a token.
+/// The unit in which buckets count.
 pub const MILLIS_PER_TOKEN: u64 = 1000;
 
-/// A token bucket. What its rate yields is never rounded up.
+/// A token bucket. The amount that its rate yields is never rounded up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bucket {
     millis: u64,
@@ -17,7 +18,7 @@
 }
 
 impl Bucket {
-    /// An empty bucket that fills from `at` on.
+    /// An empty bucket that starts filling at `at`.
     pub fn empty(at: Time) -> Self {
         Self {
             millis: 0,
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Fills it up to `now`, and at most to `cap` thousandths.
+    /// Adds what the rate has yielded up to `now`, limited to `cap`
+    /// thousandths.
     pub fn refill(&mut self, now: Time, rate: Rate, cap: u64) {
         let yielded =
             u128::from(rate.as_millis()) * u128::from(now.since(self.refilled_at).as_ms());
@@ -48,17 +50,18 @@
         }
     }
 
-    /// Whole tokens in it.
+    /// Whole tokens in the bucket.
     pub fn tokens(&self) -> u64 {
         self.millis / MILLIS_PER_TOKEN
     }
 
-    /// Thousandths of a token in it.
+    /// Thousandths of a token in the bucket.
     pub fn millis(&self) -> u64 {
         self.millis
     }
 
-    /// Takes whole tokens out, or nothing when there are too few.
+    /// Takes whole tokens out, or nothing and returns false if there are too
+    /// few.
     pub fn take(&mut self, tokens: u64) -> bool {
         let enough = self.tokens() >= tokens;
         if enough {
@@ -67,17 +70,17 @@
         enough
     }
 
-    /// Takes thousandths out, or all that there are.
+    /// Removes thousandths, or everything if the bucket holds less.
     pub fn remove_millis(&mut self, millis: u64) {
         self.millis = self.millis.saturating_sub(millis);
     }
 
-    /// Raises what is in it to this many thousandths, if it holds less.
+    /// Raises the content to this many thousandths if it holds less.
     pub fn raise_to_millis(&mut self, millis: u64) {
         self.millis = self.millis.max(millis);
     }
 
-    /// Puts whole tokens back; the next fill cuts what exceeds the cap.
+    /// Adds whole tokens; the next refill cuts what exceeds the cap.
     pub fn add(&mut self, tokens: u64) {
         self.millis += tokens * MILLIS_PER_TOKEN;
     }
--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: the grants at hand, and when to ask for more.
+//! The holder's side: the grants that a node holds, and when it asks for more.
 
 use std::collections::BTreeMap;
 
@@ -33,33 +33,35 @@
     unit::Rate, //
 };
 
-/// A grant is sized for so much of the recent demand.
+/// A grant covers this much of the recent demand.
 const GRANT_HORIZON: Span = Span::from_ms(150);
-/// More is asked for when what is left lasts no longer than this.
+/// More tokens are requested when the remaining ones last no longer than this.
 const LOW_WATERMARK: Span = Span::from_ms(50);
-/// Time kept at the end of a grant for its requests to begin.
+/// Reserved at the end of a grant so that its requests can still begin in time.
 const START_MARGIN: Span = Span::from_ms(100);
-/// A shared token is spent when it is taken, and binds its request no more.
+/// Tokens of the bank are spent when they are taken, so they never expire for
+/// their request.
 const BANK_TOKEN_LIFE: Span = Span::from_secs(3600);
-/// Time that an attempt may be under way to a node whose clock is not known.
+/// Allowance for an attempt in transit to a node whose clock is unknown.
 const TRANSIT_ALLOWANCE: Span = Span::from_ms(20);
-/// Two clocks differ by at most one part in so many.
+/// Two clocks differ by at most one part in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 1000;
-/// Time after which an unanswered wish is repeated.
+/// An unanswered request is retried after this.
 const RETRY_INTERVAL: Span = Span::from_ms(40);
-/// Age at which a wish is given up for a new one.
+/// Age at which a request is replaced by a new one.
 const MAX_ASK_AGE: Span = Span::from_ms(160);
-/// Time after which the quota owner counts as unreachable.
+/// Time without an answer after which the quota owner counts as unreachable.
 const OWNER_TIMEOUT: Span = Span::from_ms(800);
-/// Time between wishes while the quota owner is unreachable.
+/// Time between requests while the quota owner is unreachable.
 const PROBE_INTERVAL: Span = Span::from_ms(200);
 /// How often demand is measured.
 const DEMAND_WINDOW: Span = Span::from_ms(100);
+/// The most tokens that one request asks for.
 const MAX_WANT: u32 = 10_000;
-/// Time after which a team without demand is forgotten.
+/// Time after which an idle team is forgotten.
 const ACCOUNT_IDLE_TIMEOUT: Span = Span::from_secs(30);
 
-/// How the fleet shares a rate. All but the first are there to compare with.
+/// How the fleet shares a rate. All modes but the first exist for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     /// Grants sized by demand.
@@ -67,9 +69,10 @@
     Grants,
     /// Every token is fetched from the quota owner when it is needed.
     Central,
-    /// Every one of so many nodes has an equal part, and there is no owner.
+    /// Each of this many nodes has an equal share, and there is no owner.
     Slices(u32),
-    /// As [`Mode::Grants`], and a share in percent stands at so many nodes.
+    /// As [`Mode::Grants`], with a percentage of the rate split into fixed
+    /// shares for this many nodes.
     GrantsAndFixedShares(u32, u32),
 }
 
@@ -114,7 +117,7 @@
     bucket: Bucket,
 }
 
-/// How another node's clock stood when its last report came.
+/// Another node's clock reading, as of its last report.
 #[derive(Clone, Copy, Debug)]
 struct PeerClock {
     life: Incarnation,
@@ -154,22 +157,22 @@
         }
     }
 
-    /// Borrows tokens from servers that the listed nodes choose, from now on.
+    /// Takes tokens from the bank from now on, in place of grants.
     pub fn use_bank(&mut self, bank: Bank) {
         self.bank = Some(bank);
     }
 
-    /// The tokens of token servers, where rates have no owner.
+    /// The bank, if rates have no owner.
     pub fn bank(&mut self) -> Option<&mut Bank> {
         self.bank.as_mut()
     }
 
-    /// Shares rates in another way, from the beginning of the node on.
+    /// Sets how rates are shared. Call it before the first request.
     pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
     }
 
-    /// Learns the teams' rates, of which only standing shares make use.
+    /// Sets the teams' rates, which only fixed shares use.
     pub fn set_teams(&mut self, now: Time, teams: &[team::Team]) {
         let (percent, nodes) = match self.mode {
             Mode::Grants | Mode::Central => return,
@@ -191,9 +194,9 @@
         }
     }
 
-    /// Takes a token for one root request of the team, beside which these others
-    /// wait for one. It pays for a request that begins within
-    /// [`Holder::left`].
+    /// Takes a token for one root request of the team, while the calls counted
+    /// by `others` also wait for one. It pays for a request that begins within
+    /// [`Holder::time_left`].
     pub fn take_with_waiting(
         &mut self,
         now: Time,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// The same, where rates have owners.
+    /// Takes a token where rates have owners.
     pub fn take(&mut self, now: Time, team: &Team) -> Charge {
         if let Some(charge) = self.take_from_fixed_share(now, team) {
             return charge;
@@ -228,10 +231,10 @@
         charge
     }
 
-    /// Gives a token back, as its request was not run.
+    /// Gives a token back because its request was not run.
     ///
-    /// The token returns to its grant and ends with it, so it never lifts what
-    /// is outstanding above what the quota owner counts.
+    /// The token returns to its grant and expires with it, so the tokens
+    /// outstanding never exceed what the quota owner counts.
     pub fn give_back(&mut self, now: Time, team: &Team, grant: Grant) {
         if let Some(bank) = &mut self.bank {
             return bank.give_back(team);
@@ -245,15 +248,15 @@
         }
     }
 
-    /// Whether a team that gets no token is over its rate; else no owner of its
-    /// rate can be reached.
+    /// Whether a team that gets no token has exceeded its rate; otherwise no
+    /// owner of its rate can be reached.
     pub fn is_over_rate(&self, now: Time, team: &Team) -> bool {
         self.bank
             .as_ref()
             .is_some_and(|bank| bank.is_over_rate(now, team))
     }
 
-    /// The time until a team has a token again, as far as it is known.
+    /// The time until the team has a token again, as far as it is known.
     pub fn time_until_token(&self, now: Time, team: &Team) -> Span {
         let bank = self.bank.as_ref();
         bank.map_or(Span::ZERO, |bank| bank.time_until_token(now, team))
@@ -261,8 +264,8 @@
 
     /// Notes that the request which took this token has begun.
     ///
-    /// Its owner may then fill the token's place in the burst again. Until it
-    /// hears of it, or the grant ends, the token counts as outstanding.
+    /// The owner may then refill the token's place in the burst. Until it
+    /// learns of this, or the grant expires, the token counts as outstanding.
     pub fn mark_begun(&mut self, team: &Team, grant: Grant) {
         if let Some(held) = self.find_grant(team, grant)
             && held.taken > 0
@@ -285,7 +288,7 @@
         (now < held.end).then(|| now.until(held.end))
     }
 
-    /// Notes how another node's clock stands.
+    /// Records another node's clock reading.
     pub fn record_peer_clock(&mut self, now: Time, peer: &Instance, life: Incarnation, clock: u64) {
         let clock_reading = PeerClock {
             life,
@@ -295,9 +298,10 @@
         self.peer_clocks.insert(peer.clone(), clock_reading);
     }
 
-    /// Until when a root may begin at another node, when its token has this time
-    /// left. A report was under way before it came, so that clock has moved on at
-    /// least as far as this one since, and the time told is never too late.
+    /// The time until which a root request may begin at another node when its
+    /// token has `left` to live. The clock reading was in transit before it
+    /// arrived, so the peer's clock has advanced at least as far as this one
+    /// since; the result is never too late.
     pub fn begin_deadline(
         &self,
         now: Time,
@@ -319,8 +323,8 @@
         }
     }
 
-    /// Takes the quota owner's answer, and says whether those who wait should
-    /// try again.
+    /// Handles the quota owner's answer. Returns whether waiting requests
+    /// should try again.
     pub fn on_reply(&mut self, now: Time, team: &Team, number: u64, reply: Reply) -> bool {
         let grant = Grant(self.last_grant + 1);
         let Some(grants) = self.team_grants.get_mut(team) else {
@@ -371,24 +375,24 @@
         true
     }
 
-    /// Repeats wishes, gives back what will not be used, and lists the teams
-    /// whose waiting requests should try again.
+    /// Retries requests, gives back what will not be used, and returns the
+    /// teams whose waiting requests should try again.
     pub fn tick(&mut self, now: Time) -> Vec<Team> {
-        let mut resend = Vec::new();
+        let mut retry = Vec::new();
         let teams: Vec<Team> = self.team_grants.keys().cloned().collect();
         for team in teams {
             self.return_unused(now, &team);
             if self.retry_ask(now, &team) {
-                resend.push(team);
+                retry.push(team);
             }
         }
         self.team_grants.retain(|_, grants| {
             now.since(grants.last_used) < ACCOUNT_IDLE_TIMEOUT || !grants.held.is_empty()
         });
-        resend
+        retry
     }
 
-    /// Gives back everything that is not taken, as the node leaves.
+    /// Gives back all tokens that are not taken, because the node leaves.
     pub fn drain(&mut self) {
         for (team, grants) in &mut self.team_grants {
             let returns = grants.collect_returns(Time::NEVER);
@@ -399,7 +403,7 @@
         }
     }
 
-    /// Messages for the quota owners of teams, to be sent.
+    /// Removes and returns the messages to be sent to the teams' quota owners.
     pub fn outbox(&mut self) -> Vec<(Team, Message)> {
         std::mem::take(&mut self.outbox)
     }
@@ -467,8 +471,8 @@
         }
     }
 
-    /// Repeats a wish that was not answered. Says whether those who wait should
-    /// learn that the quota owner is unreachable.
+    /// Retries an unanswered request. Returns whether waiting requests should
+    /// learn that the quota owner has become unreachable.
     fn retry_ask(&mut self, now: Time, team: &Team) -> bool {
         let Some(grants) = self.team_grants.get_mut(team) else {
             return false;
@@ -479,7 +483,7 @@
         let silence = grants
             .unanswered_since
             .map_or(Span::ZERO, |since| now.since(since));
-        let told = grants.owner_unreachable;
+        let was_unreachable = grants.owner_unreachable;
         grants.owner_unreachable = silence >= OWNER_TIMEOUT;
         let gap = if grants.owner_unreachable {
             PROBE_INTERVAL
@@ -487,8 +491,8 @@
             RETRY_INTERVAL
         };
         if now.since(pending.last_sent) >= gap {
-            // A grant counts from when it was asked for, so an old wish would
-            // bring tokens that have no time left.
+            // A grant counts from when it was requested, so an old request
+            // would yield tokens with no time left.
             if now.since(pending.first_sent) >= MAX_ASK_AGE {
                 grants.pending_ask = None;
             }
@@ -504,7 +508,7 @@
             grants.unanswered_since = None;
             grants.owner_unreachable = false;
         }
-        grants.owner_unreachable && !told
+        grants.owner_unreachable && !was_unreachable
     }
 }
 
@@ -552,7 +556,7 @@
     }
 
     fn want(&self, now: Time) -> u32 {
-        // When the bucket is low, tokens that lie here are missed elsewhere.
+        // When the bucket is low, tokens held here are missing elsewhere.
         let horizon = if self.scarce {
             Span::ZERO
         } else {
@@ -588,8 +592,9 @@
         }
     }
 
-    /// Gives up tokens of grants that are about to end. Each total is told once
-    /// here, and again with every wish until its grant has ended.
+    /// Gives up the tokens of grants that are about to expire. Reports each
+    /// total once here, and again with every request until the grant has
+    /// expired.
     fn collect_returns(&mut self, now: Time) -> Vec<Return> {
         let mut returns = Vec::new();
         for held in &mut self.held {
@@ -598,10 +603,11 @@
                 held.unused += held.unspent;
                 held.unspent = 0;
             }
-            // A lost return would leave its tokens to end unused.
+            // Without a retry, a lost return would leave its tokens unused
+            // until they expire.
             let resend = held.unused > 0 && now.since(held.reported.1) >= RETRY_INTERVAL;
-            let news = held.begun > held.reported.0 && (self.scarce || resend);
-            if ending || resend || news {
+            let newly_begun = held.begun > held.reported.0 && (self.scarce || resend);
+            if ending || resend || newly_begun {
                 held.reported = (held.begun, now);
                 returns.push(held.to_return());
             }
@@ -610,10 +616,10 @@
     }
 
     fn pending_returns(&self, now: Time) -> Vec<Return> {
-        let told = |held: &&HeldGrant| held.unused + held.begun > 0 && now < held.end;
+        let to_report = |held: &&HeldGrant| held.unused + held.begun > 0 && now < held.end;
         self.held
             .iter()
-            .filter(told)
+            .filter(to_report)
             .map(HeldGrant::to_return)
             .collect()
     }
--- a/src/process/quota/owner.rs
+++ b/src/process/quota/owner.rs
@@ -1,4 +1,4 @@
-//! The quota owner's side: one bucket a team, and what is outstanding.
+//! The quota owner's side: one bucket per team, and the grants outstanding.
 
 use std::collections::BTreeMap;
 
@@ -30,9 +30,10 @@
     unit::Rate, //
 };
 
+/// Bounds of the wait that [`Reply::OverRate`] reports.
 const MIN_WAIT: Span = Span::from_ms(20);
 const MAX_WAIT: Span = Span::from_ms(200);
-/// A holder that has not asked for so long is forgotten.
+/// A holder that has not sent a request for this long is forgotten.
 const HOLDER_IDLE_TIMEOUT: Span = Span::from_secs(60);
 
 #[derive(Clone, Debug)]
@@ -54,7 +55,7 @@
     at: Time,
 }
 
-/// One team's tokens under one right.
+/// One team's tokens under one ownership epoch.
 #[derive(Clone, Debug)]
 struct Ledger {
     epoch: Epoch,
@@ -77,13 +78,13 @@
 }
 
 impl Owner {
-    /// Keeps back a share of every rate and burst, in percent, for the shares
-    /// that stand at the holders.
+    /// Withholds a percentage of every rate and burst for the fixed shares of
+    /// the holders.
     pub fn withhold_percent(&mut self, percent: u32) {
         self.withheld_percent = Some(percent);
     }
 
-    /// Answers a holder's wish under a right that holds now.
+    /// Answers a holder's request under an ownership that is valid now.
     pub fn on_ask(&mut self, now: Time, ownership: Ownership, team: &Team, ask: &Ask) -> Reply {
         let kept_percent = 100 - u64::from(self.withheld_percent.unwrap_or(0));
         let team = scale_limits(team, kept_percent);
@@ -93,7 +94,8 @@
         ledger.grant(now, ownership, ask)
     }
 
-    /// Takes tokens back. What belongs to another right, or has ended, is spent.
+    /// Takes tokens back. Those that belong to another ownership or an expired
+    /// grant count as spent.
     pub fn on_return(&mut self, now: Time, team: &Team, returns: &[Return]) {
         let kept_percent = 100 - u64::from(self.withheld_percent.unwrap_or(0));
         let team = scale_limits(team, kept_percent);
@@ -103,8 +105,8 @@
         }
     }
 
-    /// The buckets, to be handed on by an owner that leaves. Nothing that it
-    /// granted may be outstanding any more.
+    /// The buckets to be handed over by an owner that leaves, of teams with no
+    /// grant outstanding.
     pub fn settled_buckets(&self) -> Vec<BucketSnapshot> {
         let settled = |ledger: &&Ledger| ledger.outstanding.is_empty();
         let snapshot = |(team, ledger): (&crate::id::Team, &Ledger)| BucketSnapshot {
@@ -116,15 +118,15 @@
         ledgers.map(snapshot).collect()
     }
 
-    /// Brings all accounts up to `now`.
+    /// Advances all buckets to `now`.
     pub fn advance(&mut self, now: Time) {
         for ledger in self.ledgers.values_mut() {
             ledger.advance_to(now);
         }
     }
 
-    /// Notes what an owner that left had in its buckets. It counts only for the
-    /// right that directly follows that owner's.
+    /// Records the buckets of an owner that left. They count only under the
+    /// epoch that directly follows that owner's.
     pub fn inherit_buckets(&mut self, snapshots: Vec<BucketSnapshot>) {
         for snapshot in snapshots {
             self.inherited.insert(snapshot.team.clone(), snapshot);
@@ -138,8 +140,8 @@
             ledger
         };
         let ledger = self.ledgers.entry(team.name.clone()).or_insert_with(fresh);
-        // Tokens of an earlier right of this node may have been granted anew by
-        // an owner in between: the account begins again, empty.
+        // After an interruption, another owner may have granted the tokens of
+        // this node's earlier epoch again, so the ledger starts over, empty.
         if ownership.continued_epoch == Some(ledger.epoch) {
             ledger.epoch = ownership.epoch;
         } else if ledger.epoch != ownership.epoch {
@@ -155,7 +157,7 @@
 }
 
 impl OutstandingGrant {
-    /// Tokens that may yet pay for a request.
+    /// Tokens that may still pay for a request.
     fn unspent(&self) -> u32 {
         self.tokens - self.unused - self.begun
     }
@@ -187,8 +189,9 @@
         }
     }
 
-    /// Credits what the owner before had in its bucket, once, however late it is
-    /// told: less what was granted since, as if it had been there from the start.
+    /// Credits what the previous owner had in its bucket. Happens once and may
+    /// come late: what was granted since is deducted, as if the credit had been
+    /// there from the start.
     fn credit(&mut self, millis: u64) {
         if !std::mem::replace(&mut self.inherited, true) {
             let rest = millis.saturating_sub(self.granted_millis);
@@ -205,13 +208,13 @@
         u64::from(self.burst).saturating_sub(out) * MILLIS_PER_TOKEN
     }
 
-    /// Brings the bucket up to `now`, through each end of a grant in its order.
+    /// Advances the bucket to `now`, through each grant expiry in order.
     ///
-    /// A bucket filled in one step under the cap of `now` would hold tokens that
-    /// came due while the grants still filled the burst: a holder could then use
-    /// its grant at the last moment and the next one at once, which together
-    /// exceed the burst. Filled up to each end under the cap of that time, it
-    /// cannot.
+    /// Filling the bucket in one step under the cap at `now` would keep tokens
+    /// that came due while the grants still occupied the burst: a holder could
+    /// use its grant at the last moment and the next one immediately after,
+    /// which together exceed the burst. Filling up to each expiry under the cap
+    /// of that time prevents this.
     fn advance(&mut self, now: Time, team: &Team) {
         self.advance_to(now);
         (self.rate, self.burst) = (team.rate, team.burst);
@@ -256,8 +259,9 @@
         if let Some(reply) = self.repeated_reply(now, ask) {
             return reply;
         }
-        // A grant never outlives the right under which it was made, so the next
-        // owner, which begins after that right, has nothing outstanding to fear.
+        // A grant never outlives the ownership under which it was made, so the
+        // next owner, which starts after it, has no outstanding grants to
+        // account for.
         let duration = self.grant_life().min(now.until(ownership.until));
         if duration < MIN_GRANT_LIFE {
             return Reply::NotOwner(None);
@@ -297,8 +301,8 @@
         self.bucket.tokens() < u64::from(self.burst / 2)
     }
 
-    /// The same answer to a repeated wish, so that a lost answer costs nothing.
-    /// A wish older than the holder's latest is a late copy.
+    /// Answers a retried request with the same grant, so that a lost answer
+    /// costs nothing. A request older than the holder's latest is a late copy.
     fn repeated_reply(&mut self, now: Time, ask: &Ask) -> Option<Reply> {
         let mine = |grant: &&OutstandingGrant| grant.holder == ask.from && grant.life == ask.life;
         let found = self
@@ -327,8 +331,8 @@
         None
     }
 
-    /// Grants live shorter when the burst is small against the rate, as what is
-    /// outstanding takes its place in the burst.
+    /// Grants live shorter when the burst is small compared to the rate,
+    /// because outstanding tokens occupy the burst.
     fn grant_life(&self) -> Span {
         let half = u64::from(self.burst) * 1_000_000 / (2 * self.rate.as_millis().max(1));
         Span::from_ms(half).clamp(Span::from_ms(150), MAX_GRANT_LIFE)
