--- a/src/process/quota/holder.rs
+++ b/src/process/quota/holder.rs
@@ -20,8 +20,8 @@
         Time, //
     },
     context::{
-        Begin,
-        Importance, //
+        Importance,
+        StartLimit, //
     },
     id::{
         Grant,
@@ -308,7 +308,7 @@
         peer: &Instance,
         life: Incarnation,
         left: Span,
-    ) -> Begin {
+    ) -> StartLimit {
         match self
             .peer_clocks
             .get(peer)
@@ -317,9 +317,9 @@
             Some(clock_reading) => {
                 let passed = now.since(clock_reading.at).as_ms();
                 let clock = clock_reading.clock + passed - passed / CLOCK_DRIFT_DIVISOR;
-                Begin::Clock(clock + left.as_ms())
+                StartLimit::Clock(clock + left.as_ms())
             }
-            None => Begin::Within(left - TRANSIT_ALLOWANCE),
+            None => StartLimit::Within(left - TRANSIT_ALLOWANCE),
         }
     }
 
--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts: sending them, and judging how they end.
 
 use super::{
-    Action, Router, World,
+    Action, Environment, Router,
     call::{
         Attempt,
         Call,
@@ -24,7 +24,7 @@
     id,
     metric::Counter,
     outcome::Report,
-    policy::Retries,
+    policy::RetryLimit,
     record::Name,
     retry::{
         self,
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -103,9 +103,11 @@
         let Some((peer, life)) = picked else {
             return self.fail(now, number, absent, world, out);
         };
-        let loan = match world.policy.retries {
-            Retries::Hop(_) => 0,
-            Retries::Allowance => call.purse(world.proxy.purses()).map_or(0, |p| p.reserve()),
+        let loan = match world.policy.retry_limit {
+            RetryLimit::PerHop(_) => 0,
+            RetryLimit::Allowance => call
+                .purse(world.proxy.allowances())
+                .map_or(0, |p| p.reserve()),
         };
         self.next += 1;
         let request = id::Request {
@@ -115,7 +117,7 @@
         call.state = State::Sent(request);
         call.tried.push(peer.clone());
         self.balancer.record_sent(now, &peer);
-        if let Some(hint) = self.hints.due(now, &peer, life) {
+        if let Some(hint) = self.hints.pending(now, &peer, life) {
             out.push(Action::Hint(peer.clone(), hint));
         }
         out.push(Action::Send {
@@ -159,10 +161,10 @@
         request: id::Request,
         status: u16,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
-        self.hints.note(now, peer, report.life, report.hint, true);
+        self.hints.record(now, peer, report.life, report.hint, true);
         let Some(number) = self.heard(now, peer, request, &report, world) else {
             return;
         };
@@ -210,7 +212,7 @@
         peer: &id::Instance,
         request: id::Request,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.heard(now, peer, request, &report, world) else {
@@ -243,7 +245,7 @@
         request: id::Request,
         code: Code,
         report: Report,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.heard(now, peer, request, &report, world) else {
@@ -275,7 +277,7 @@
         &mut self,
         now: Time,
         request: id::Request,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(number) = self.attempts.get(&request).map(|attempt| attempt.call) else {
@@ -292,7 +294,7 @@
         &mut self,
         now: Time,
         peer: &id::Instance,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let lost: Vec<_> = self
@@ -311,7 +313,7 @@
         now: Time,
         request: id::Request,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get(&number) else {
@@ -382,7 +384,7 @@
         &mut self,
         now: Time,
         number: id::Call,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(State::Revoking { request, until, .. }) = self.calls.get(&number).map(|c| c.state)
@@ -404,7 +406,7 @@
         peer: &id::Instance,
         request: id::Request,
         fate: Fate,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let number = match self.attempts.get(&request) {
@@ -436,7 +438,7 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let delivering = |call: &Call| matches!(call.state, State::Delivering(_));
@@ -458,7 +460,7 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> Option<Reason> {
         let call = self.calls.get_mut(&number)?;
         let reason = failure.reason(call.repeatable)?;
@@ -478,7 +480,7 @@
         }
         // Without an instance that has not refused it yet, going on would only
         // ask again where there was no room a moment ago.
-        let onward = reason == Reason::NotRun && world.policy.reroutes > 0;
+        let onward = reason == Reason::NotRun && world.policy.max_reroutes > 0;
         if onward
             && failure != Failure::NotRun(Code::UpstreamRejected)
             && !self
@@ -491,11 +493,11 @@
         let typical = self.typical.get(&call.route).copied().unwrap_or(0.0);
         let fits = now + Span::from_ms(typical as u64) < call.deadline;
         let free = match reason {
-            Reason::Leaving => !call.rerouted || call.reroutes < world.policy.reroutes,
+            Reason::Leaving => !call.rerouted || call.reroutes < world.policy.max_reroutes,
             // No upstream has seen it: going on costs nothing but time.
             Reason::NotRun => {
                 failure != Failure::NotRun(Code::UpstreamRejected)
-                    && call.reroutes < world.policy.reroutes
+                    && call.reroutes < world.policy.max_reroutes
             }
             Reason::Unknown | Reason::Failed => false,
         };
@@ -513,26 +515,27 @@
         number: id::Call,
         failure: Failure,
         no_retry: bool,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&number) else {
             return false;
         };
         let rejected = failure == Failure::NotRun(Code::UpstreamRejected);
-        let again = rejected && call.rejected.len() <= usize::from(world.policy.rejections);
-        if let Retries::Hop(most) = world.policy.retries {
+        let again =
+            rejected && call.rejected.len() <= usize::from(world.policy.max_rejection_retries);
+        if let RetryLimit::PerHop(most) = world.policy.retry_limit {
             return call.retries < most;
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
-        let Some(purse) = call.purse(world.proxy.purses()) else {
+        let Some(purse) = call.purse(world.proxy.allowances()) else {
             return false;
         };
         let further = purse.remaining() > 0 && !no_retry;
         if !further && !again {
             return false;
         }
-        if world.policy.ratio && !self.budget.take(now, &pool, importance) {
+        if world.policy.retry_budget && !self.budget.take(now, &pool, importance) {
             return false;
         }
         if further {
@@ -548,7 +551,7 @@
         number: id::Call,
         failure: Failure,
         reason: Reason,
-        world: &mut World<'_>,
+        world: &mut Environment<'_>,
         out: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&number) else {
@@ -563,7 +566,7 @@
         let unseen = failure != Failure::NotRun(Code::UpstreamRejected);
         let leaving = reason == Reason::Leaving && !call.rerouted;
         let onward = reason == Reason::NotRun || reason == Reason::Leaving;
-        if leaving || (onward && unseen && call.reroutes < world.policy.reroutes) {
+        if leaving || (onward && unseen && call.reroutes < world.policy.max_reroutes) {
             call.rerouted |= reason == Reason::Leaving;
             call.reroutes += 1;
             return self.send(now, number, world, out);
