--- a/src/process/feed.rs
+++ b/src/process/feed.rs
@@ -117,8 +117,8 @@
 }
 
 impl News {
-    /// Restores the compressed values and returns the answer. Each value is cut off
-    /// at [`frame::LIMIT`] bytes, as a guard against decompression bombs.
+    /// Restores the compressed values, up to [`frame::LIMIT`] bytes of each, and
+    /// returns the answer.
     fn decompress(mut self) -> Result<Answer> {
         for (key, compressed) in &self.packed {
             let mut value = String::new();
--- a/src/process/member/wire.rs
+++ b/src/process/member/wire.rs
@@ -132,7 +132,8 @@
     /// The state of the member.
     #[serde(rename = "s")]
     pub status: Status,
-    /// The member's description of itself; absent if the member is suspected or dead.
+    /// The member's description of itself; omitted when a suspicion or a death is
+    /// reported.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub card: Option<Card>,
 }
