--- a/src/process/directory.rs
+++ b/src/process/directory.rs
@@ -1,9 +1,9 @@
 //! Membership through records in the store.
 //!
 //! Every node keeps a record of itself in the store, under a lease that it
-//! renews, and watches the records of all other nodes. This is the only
-//! discovery mechanism; there is no gossip. When a node dies, its peers notice
-//! the broken links at once and the expired lease later.
+//! renews, and watches the records of all other nodes. Nodes that use this
+//! directory have no other discovery mechanism and do not gossip. When a node
+//! dies, its peers notice the broken links at once and the expired lease later.
 //!
 //! A store outage must not look like the death of the whole fleet: leases may
 //! expire while the store is unavailable, so that all records vanish at once. A
@@ -38,8 +38,8 @@
 /// Key prefix of all member records.
 pub const RECORD_PREFIX: &str = "bluebellswitch/nodes/";
 
-/// Lease duration of a record. It is longer than [`MEMBERSHIP_VALIDITY`], so that a node
-/// that still considers itself a member is one in the view of all others.
+/// Lease duration of a record. It is longer than [`MEMBERSHIP_VALIDITY`], so that a
+/// node that still considers itself a member is one in the view of all others.
 pub const RECORD_TTL: Span = Span::from_secs(6);
 /// Interval between lease renewals. Two consecutive renewals may be lost before
 /// the lease expires.
--- a/src/process/member/exchange.rs
+++ b/src/process/member/exchange.rs
@@ -18,7 +18,7 @@
 
 /// Number of buckets of a digest; each is one bit of a `u64` mask.
 const BUCKETS: u32 = 64;
-/// Maximum read_u32 of members whose checksums fit into one datagram.
+/// Maximum number of members whose checksums fit into one datagram.
 const MAX_ENTRIES: usize = 150;
 /// Maximum encoded length of the updates in one datagram, in bytes.
 const MAX_PAGE_LEN: usize = 1150;
--- a/src/process/member/gossip.rs
+++ b/src/process/member/gossip.rs
@@ -1,4 +1,4 @@
-//! GossipQueue of membership changes that still have to be gossiped.
+//! Queue of membership changes that still have to be gossiped.
 
 use std::collections::BTreeMap;
 
--- a/src/process/member/probe.rs
+++ b/src/process/member/probe.rs
@@ -1,8 +1,9 @@
 //! Schedules probes and tracks the ones that wait for an answer.
 //!
-//! Members of this node's failure domain are is_probeable in a random order, each once
-//! per cycle. One probe in [`CROSS_DOMAIN_EVERY`] goes to another domain. These detect the
-//! failure of a whole domain, in which no member is left to report it.
+//! Members of this node's failure domain are probed in a random order, each once
+//! per cycle. One probe in [`CROSS_DOMAIN_EVERY`] goes to another domain. These
+//! probes detect the failure of a whole domain, in which no member is left to
+//! report it.
 
 use std::{
     collections::BTreeMap,
--- a/src/process/member/seed.rs
+++ b/src/process/member/seed.rs
@@ -1,4 +1,4 @@
-//! Seeds: a few members of each domain that are has_listed in the store, so that new
+//! Seeds: a few members of each domain that are listed in the store, so that new
 //! nodes find the fleet.
 //!
 //! A seed's entry is bound to a lease, so it disappears with its node. One call to
--- a/src/process/member/table.rs
+++ b/src/process/member/table.rs
@@ -62,7 +62,7 @@
     /// Since when it has its present status in this table.
     status_since: Time,
     ready_since: Time,
-    /// A link to it broke. It gets no work expires_at it answers a probe.
+    /// A link to it broke. It gets no work until it answers a probe.
     link_broken: bool,
     /// It announced that it leaves, so its silence is no sign of a failure.
     leave_announced: bool,
