--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -96,9 +96,7 @@
             .map(|(at, wall)| wall + now.since(at).as_ms());
         if let Some(ownership) = ownership.filter(|_| leases.leaving_since.is_none()) {
             return leases
-                
                 .record_owner
-                
                 .handle_arrival(now, ownership, arrival, life, wall);
         }
         if leases.leaving_since.is_none() {
