--- a/src/request/admission/level.rs
+++ b/src/request/admission/level.rs
@@ -45,7 +45,7 @@
 /// EWMA weight of the newest interval in a team's demand.
 const DEMAND_EWMA_WEIGHT: f64 = 0.03;
 /// Upper bound on the shed share that is used to estimate demand: when almost
-/// everything is shed, the admitted requests no longer tell the demand.
+/// everything is shed, the admitted requests say little about the demand.
 const MAX_ESTIMATION_SHED_SHARE: f64 = 0.97;
 /// Teams with fewer requests for each interval are dropped from the demand.
 const MIN_DEMAND: f64 = 0.01;
--- a/src/request/backpressure.rs
+++ b/src/request/backpressure.rs
@@ -128,7 +128,7 @@
         self.unanswered = 0;
     }
 
-    /// Applies a limit that another node learnt through an earlier incarnation of
+    /// Applies a limit that another node got from an earlier incarnation of
     /// this node. It is ignored once the upstream has answered here, as that answer
     /// is newer.
     pub fn apply_hint(&mut self, now: Time, limit: Option<Rate>) {
--- a/src/request/inbound/memory.rs
+++ b/src/request/inbound/memory.rs
@@ -31,7 +31,7 @@
 /// Maximum number of entries.
 const MAX_ENTRIES: usize = 32_768;
 
-/// What the history tells of an attempt that neither waits nor runs.
+/// What the history contains about an attempt that neither waits nor runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
     /// It has not arrived.
--- a/src/request/inbound/site.rs
+++ b/src/request/inbound/site.rs
@@ -100,12 +100,12 @@
             return;
         }
         self.version = Some(snapshot.version);
-        if let Some(row) = snapshot.tables.pool(&self.pool) {
-            self.slots = row.slots;
-            self.max_queue = row.queue;
-            self.target_delay = row.delay;
-            self.ramp = row.ramp;
-            self.cold_limit = tolerance.rate_limit(row);
+        if let Some(pool) = snapshot.tables.pool(&self.pool) {
+            self.slots = pool.slots;
+            self.max_queue = pool.queue;
+            self.target_delay = pool.delay;
+            self.ramp = pool.ramp;
+            self.cold_limit = tolerance.rate_limit(pool);
         }
     }
 
--- a/src/request/limit.rs
+++ b/src/request/limit.rs
@@ -1,7 +1,7 @@
 //! Concurrency limit of an upstream.
 //!
 //! When the pool configures slots, the limit is their number, and only refused
-//! connections reduce it. Otherwise the limit is learnt. It grows while all of it is
+//! connections reduce it. Otherwise the limit is estimated. It grows while all of it is
 //! used and the mean service time stays near the best one seen. When requests become
 //! slower, a trial with a lower limit finds the cause. If the throughput stays the
 //! same, requests had only queued inside the upstream, and the limit stays lower. If
@@ -35,7 +35,8 @@
 #[derive(Clone, Debug)]
 pub struct Concurrency {
     configured: Option<u32>,
-    learnt: f64,
+    /// The estimated limit; at most the configured slots, if there are any.
+    estimate: f64,
     trial: Option<Trial>,
     window: Window,
     /// The lowest mean service time seen, in milliseconds.
@@ -69,7 +70,7 @@
     fn default() -> Self {
         Self {
             configured: None,
-            learnt: INITIAL_LIMIT,
+            estimate: INITIAL_LIMIT,
             trial: None,
             window: Window::default(),
             best_ms: f64::INFINITY,
@@ -86,7 +87,7 @@
         }
         self.configured = slots;
         if let Some(slots) = slots {
-            self.learnt = f64::from(slots.max(1));
+            self.estimate = f64::from(slots.max(1));
         }
     }
 
@@ -102,7 +103,7 @@
             let share = now.since(since).as_ms() as f64 / ramp.as_ms().max(1) as f64;
             share.clamp(0.1, 1.0)
         });
-        (self.learnt.min(max) * factor).max(1.0) as u32
+        (self.estimate.min(max) * factor).max(1.0) as u32
     }
 
     /// Records a completed attempt, and how many were in flight including it.
@@ -127,47 +128,47 @@
         self.window.started = now;
         self.window.ends = now + MIN_WINDOW.max(Span::from_ms((mean * 1.5) as u64));
         if window.refused {
-            self.learnt = (self.learnt * 0.7).max(MIN_LIMIT);
+            self.estimate = (self.estimate * 0.7).max(MIN_LIMIT);
             return;
         }
-        let grown = (self.learnt * GROWTH_FACTOR + 1.0).min(MAX_LIMIT);
+        let grown = (self.estimate * GROWTH_FACTOR + 1.0).min(MAX_LIMIT);
         match self.configured {
-            Some(slots) => self.learnt = grown.min(f64::from(slots.max(1))),
-            None if window.served > 0 => self.learn(now, window, grown),
+            Some(slots) => self.estimate = grown.min(f64::from(slots.max(1))),
+            None if window.served > 0 => self.update_estimate(now, window, grown),
             None => {}
         }
     }
 
-    /// Adjusts a learnt limit by the window that has passed.
-    fn learn(&mut self, now: Time, window: Window, grown: f64) {
+    /// Updates the estimated limit from the window that has passed.
+    fn update_estimate(&mut self, now: Time, window: Window, grown: f64) {
         let mean = window.total_ms / f64::from(window.served);
         let throughput =
             f64::from(window.served) / now.since(window.started).as_secs_f64().max(0.001);
-        let used = f64::from(window.peak) >= self.learnt * 0.8;
+        let used = f64::from(window.peak) >= self.estimate * 0.8;
         match self.trial.take() {
             Some(trial) if trial.mixed => {
-                let mixed = f64::from(window.peak) > self.learnt + 1.0;
+                let mixed = f64::from(window.peak) > self.estimate + 1.0;
                 self.trial = Some(Trial { mixed, ..trial });
             }
             // There were too few requests to reach a result.
-            Some(trial) if !used => self.learnt = trial.previous_limit,
+            Some(trial) if !used => self.estimate = trial.previous_limit,
             Some(trial) if throughput < trial.throughput * MIN_THROUGHPUT_SHARE => {
-                self.learnt = trial.previous_limit;
+                self.estimate = trial.previous_limit;
                 self.best_ms = mean;
             }
             Some(_) => self.best_ms = self.best_ms.min(mean),
             None if used && mean > self.best_ms * MAX_SLOWDOWN => {
                 self.trial = Some(Trial {
-                    previous_limit: self.learnt,
+                    previous_limit: self.estimate,
                     throughput,
                     mixed: true,
                 });
-                self.learnt = (self.learnt * TRIAL_FACTOR).max(MIN_LIMIT);
+                self.estimate = (self.estimate * TRIAL_FACTOR).max(MIN_LIMIT);
             }
             None => {
                 self.best_ms = self.best_ms.min(mean);
                 if used {
-                    self.learnt = grown;
+                    self.estimate = grown;
                 }
             }
         }
