--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -166,7 +166,7 @@
     /// Creates the context of a call on a keyless route, which is for calls between
     /// services. Such a call doesn't name the request that caused it, but work has
     /// started for one, and refusing the call would waste that work. It inherits
-    /// root, importance and age of the request that most likely outgoing_call it, so that
+    /// root, importance and age of the request that most likely made it, so that
     /// the calls of one request are served or shed together. Without such a request
     /// it takes precedence over all other calls.
     fn keyless_context(
--- a/src/request/policy.rs
+++ b/src/request/policy.rs
@@ -69,7 +69,7 @@
     /// that they haven't run it, once it can't be sent to any other instance.
     pub max_rejection_retries: u8,
     /// Attributes calls that name no attempt to the attempt that most likely made
-    /// them; see [`crate::inbound::Proxy::caller`].
+    /// them; see [`crate::inbound::Proxy::attribute_call`].
     pub attribution: bool,
     /// Maximum time that a call waits for a rate token.
     pub max_token_wait: Span,
--- a/src/request/record.rs
+++ b/src/request/record.rs
@@ -61,7 +61,7 @@
 
 /// A record that a leaving owner transfers to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TransferredRecord {
+pub struct Transferred {
     /// Identifies the record.
     pub name: Name,
     /// Checksum of the recorded request.
@@ -76,7 +76,7 @@
     /// The slice is owned by this other node.
     Elsewhere(Seat, Instance),
     /// All records of a slice, sent by an owner that is leaving.
-    Records(Seat, Epoch, Vec<TransferredRecord>),
+    Records(Seat, Epoch, Vec<Transferred>),
 }
 
 /// Returns the slice that a record belongs to.
--- a/src/request/record/owner.rs
+++ b/src/request/record/owner.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    Name, Slice, TransferredRecord,
+    Name, Slice, Transferred,
     slice::{
         Record,
         State, //
@@ -89,7 +89,7 @@
     pending_responses: BTreeMap<Request, Box<Whole>>,
     stored_responses: VecDeque<(Seat, Name, usize)>,
     stored_bytes: usize,
-    transferred: BTreeMap<Seat, (Epoch, Vec<TransferredRecord>)>,
+    transferred: BTreeMap<Seat, (Epoch, Vec<Transferred>)>,
 }
 
 impl Owner {
@@ -196,9 +196,9 @@
 
     /// Returns the records of all complete slices, to be transferred to the successor
     /// when this node leaves.
-    pub fn export(&self) -> Vec<(Seat, Epoch, Vec<TransferredRecord>)> {
+    pub fn export(&self) -> Vec<(Seat, Epoch, Vec<Transferred>)> {
         let complete = self.slices.iter().filter(|(_, slice)| slice.complete);
-        let transferred = |(name, record): (&Name, &Record)| TransferredRecord {
+        let transferred = |(name, record): (&Name, &Record)| Transferred {
             name: name.clone(),
             fingerprint: record.fingerprint,
             whole: match &record.state {
@@ -216,7 +216,7 @@
 
     /// Accepts the records of an owner that left. They are used only by the ownership
     /// that directly follows that owner's.
-    pub fn import(&mut self, seat: Seat, epoch: Epoch, records: Vec<TransferredRecord>) {
+    pub fn import(&mut self, seat: Seat, epoch: Epoch, records: Vec<Transferred>) {
         self.transferred.insert(seat, (epoch, records));
     }
 
