--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -354,7 +354,7 @@
     /// Charges a health probe against the requests that the upstream may
     /// receive. Returns whether the probe may be sent now.
     pub fn try_admit_probe(&mut self, now: Time) -> bool {
-        let is_allowed = self.proxy.probe(now);
+        let is_allowed = self.proxy.start_probe(now);
         if is_allowed {
             self.counts.add(Counter::Started(Kind::Probe));
         }
@@ -385,13 +385,13 @@
         }
         match event {
             Event::Call(call) => self.on_call(now, call, out),
-            Event::CallerGone(call) => self.run_router(now, ingress::Event::Gone(call), out),
+            Event::CallerGone(call) => self.run_router(now, ingress::Event::CallerGone(call), out),
             Event::Frame(peer, frame) => self.on_frame(now, peer, frame, out),
             Event::AttemptUnsent(request) => {
-                self.run_router(now, ingress::Event::Unsent(request), out);
+                self.run_router(now, ingress::Event::AttemptUnsent(request), out);
             }
             Event::OutboundLinkLost(peer) => {
-                self.run_router(now, ingress::Event::Broken(peer.clone()), out);
+                self.run_router(now, ingress::Event::LinkLost(peer.clone()), out);
                 match self.discovery.is_some() {
                     true => self.discovery_link_lost(now, &peer),
                     false => self.gossip_link_lost(now, &peer, out),
@@ -516,7 +516,7 @@
         let origin = match call.origin {
             Origin::Caller(key) => ingress::Origin::Caller { key },
             Origin::Service(token) => ingress::Origin::Service {
-                parent: token.and_then(|token| self.proxy.parent(now, token)),
+                parent: token.and_then(|token| self.proxy.nested_context(now, token)),
             },
         };
         let arrival = ingress::Arrival {
@@ -589,7 +589,7 @@
                 self.run_proxy(now, event, out);
             }
             Frame::Fate { request, fate } => {
-                self.run_router(now, ingress::Event::Fate(peer, request, fate), out);
+                self.run_router(now, ingress::Event::RevokeResult(peer, request, fate), out);
             }
             Frame::Answer {
                 request,
@@ -661,7 +661,7 @@
     }
 
     fn run_router(&mut self, now: Time, event: ingress::Event, out: &mut Vec<Action>) {
-        let mut world = ingress::World {
+        let mut world = ingress::Environment {
             snapshot: &self.snapshot,
             members: &self.members,
             quota: &mut self.quota,
@@ -697,8 +697,8 @@
                 self.record_attempt_refused(now, *request, *code, out);
             }
             match action {
-                inbound::Action::Orphan(orphaned) => {
-                    self.run_router(now, ingress::Event::Orphan(orphaned), out);
+                inbound::Action::EndNestedCalls(orphaned) => {
+                    self.run_router(now, ingress::Event::ParentEnded(orphaned), out);
                 }
                 action => out.extend(node_action(action)),
             }
@@ -783,6 +783,6 @@
         inbound::Action::Departing { by_hint } => {
             Action::Log(LogEvent::UpstreamLeaving { by_hint })
         }
-        inbound::Action::Orphan(_) => return None,
+        inbound::Action::EndNestedCalls(_) => return None,
     })
 }
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -47,7 +47,7 @@
     },
     metric::Counter,
     quota::Bank,
-    retry::Terms,
+    retry::Limits,
     store,
     warmup, //
 };
@@ -80,7 +80,7 @@
     /// The window of `retry_slack`.
     pub retry_window: Span,
     /// How far the requests sent to a cold upstream may exceed its rate.
-    pub cold_excess: warmup::Bound,
+    pub cold_excess: warmup::Tolerance,
 }
 
 impl Default for Bounds {
@@ -91,7 +91,7 @@
             retry_ratio: 0.2,
             retry_slack: 48.0,
             retry_window: Span::from_secs(10),
-            cold_excess: warmup::Bound::default(),
+            cold_excess: warmup::Tolerance::default(),
         }
     }
 }
@@ -173,8 +173,8 @@
     /// Enables discovery of members and configuration through the store, and rate
     /// sharing without quota owners. Must be called when the node starts.
     pub fn enable_store_discovery(&mut self, source: Source, bounds: Bounds) {
-        self.quota.lend(Bank::new(self.identity.peer.clone()));
-        self.proxy.bound_cold(bounds.cold_excess);
+        self.quota.use_bank(Bank::new(self.identity.peer.clone()));
+        self.proxy.set_cold_tolerance(bounds.cold_excess);
         self.discovery = Some(Discovery {
             bounds,
             directory: Directory::new(self.identity.peer.clone()),
@@ -203,7 +203,7 @@
 
     /// Replaces the bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.proxy.bound_cold(bounds.cold_excess);
+        self.proxy.set_cold_tolerance(bounds.cold_excess);
         if let Some(discovery) = &mut self.discovery {
             discovery.bounds = bounds;
         }
@@ -324,7 +324,7 @@
         let bounds = discovery.bounds;
         if let Some(bank) = self.quota.bank() {
             let until = discovery.directory.minting_until(now);
-            bank.adopt(
+            bank.update_nodes(
                 now,
                 until,
                 &discovery.directory.token_server_candidates(now),
@@ -333,12 +333,12 @@
         let nodes = self.members.len().max(1);
         let seconds = bounds.retry_window.as_secs_f64();
         let slack = bounds.retry_slack / nodes as f64;
-        self.router.limit_retries(Terms {
+        self.router.set_retry_limits(Limits {
             ratio: bounds.retry_ratio * RETRY_RATIO_SHARE,
-            floor: slack * RETRY_FLOOR_SHARE / seconds,
-            saved: slack * RETRY_SAVED_SHARE,
-            ahead: bounds.retry_window.scale(RETRY_AHEAD_SHARE),
-            reserve: CRITICAL_RETRY_SHARE,
+            min_rate: slack * RETRY_FLOOR_SHARE / seconds,
+            burst: slack * RETRY_SAVED_SHARE,
+            burst_window: bounds.retry_window.scale(RETRY_AHEAD_SHARE),
+            critical_reserve: CRITICAL_RETRY_SHARE,
         });
     }
 
@@ -400,7 +400,7 @@
         if snapshot.version != self.snapshot.version {
             out.push(Action::Log(LogEvent::ConfigAdopted(snapshot.version)));
             if let Some(bank) = self.quota.bank() {
-                bank.teams(now, &snapshot.teams.teams);
+                bank.set_teams(now, &snapshot.teams.teams);
             }
         }
         let age = self.discovered_config_age(now);
@@ -437,7 +437,7 @@
                     self.members.remove(&name);
                     out.push(Action::Log(LogEvent::MemberRemoved(name.clone())));
                     // Attempts in flight to this member will not be answered.
-                    self.run_router(now, ingress::Event::Broken(name.clone()), out);
+                    self.run_router(now, ingress::Event::LinkLost(name.clone()), out);
                     self.router.forget_instance(&name);
                 }
             }
--- a/src/process/node/listed/tokens.rs
+++ b/src/process/node/listed/tokens.rs
@@ -13,12 +13,12 @@
 
 impl Core {
     pub(super) fn bank_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waiting = self.router.charging();
+        let waiting = self.router.waiting_for_tokens();
         let Some(bank) = self.quota.bank() else {
             return;
         };
         for team in bank.tick(now, &waiting) {
-            self.run_router(now, ingress::Event::Quota(team), out);
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_bank_messages(out);
     }
@@ -41,8 +41,8 @@
         let Some(bank) = self.quota.bank() else {
             return;
         };
-        if let Some(team) = bank.on(now, message) {
-            self.run_router(now, ingress::Event::Quota(team), out);
+        if let Some(team) = bank.on_message(now, message) {
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_bank_messages(out);
     }
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -23,8 +23,8 @@
     ingress,
     lease::{
         self,
-        Seat, //
-        SeatManager,
+        Seat,
+        SeatManager, //
     },
     message::Message,
     quota::{
@@ -93,10 +93,10 @@
     /// Sets the mode of rate sharing and the lease timing. Must be called when the
     /// node starts.
     pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
-        self.quota.switch(mode);
+        self.quota.set_mode(mode);
         self.leases.seat_manager.configure(setting);
-        if let Mode::Standing(percent, _) = mode {
-            self.leases.quota_owner.reserve(percent);
+        if let Mode::GrantsAndFixedShares(percent, _) = mode {
+            self.leases.quota_owner.withhold_percent(percent);
         }
     }
 
@@ -115,7 +115,7 @@
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
             self.leases.record_directory.plan(plan.records());
             self.leases.plan = plan;
-            self.quota.adopt(now, &self.snapshot.teams.teams);
+            self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
         let mut actions = Vec::new();
         let Leases {
@@ -125,7 +125,7 @@
         seat_manager.tick(now, &self.members, wanted, successors, &mut actions);
         self.run_lease_actions(actions, out);
         for team in self.quota.tick(now) {
-            self.run_router(now, ingress::Event::Quota(team), out);
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_quota_messages(now, out);
         self.records_tick(now, out);
@@ -176,7 +176,7 @@
         let owner = &mut self.leases.quota_owner;
         let buckets = self.leases.handover_buckets.get_or_insert_with(|| {
             owner.advance(now);
-            owner.accounts()
+            owner.settled_buckets()
         });
         let buckets = buckets.clone();
         let successor = self.leases.seat_manager.successor().cloned();
@@ -262,10 +262,10 @@
                 number,
                 reply,
             } => self.on_quota_reply(now, from, team, number, reply, out),
-            quota::Message::Buckets(buckets) => self.leases.quota_owner.inherit(buckets),
+            quota::Message::Buckets(buckets) => self.leases.quota_owner.inherit_buckets(buckets),
             quota::Message::Return(team, returns) => {
                 if let Some(row) = self.snapshot.teams.team(&team) {
-                    self.leases.quota_owner.returned(now, row, &returns);
+                    self.leases.quota_owner.on_return(now, row, &returns);
                 }
             }
         }
@@ -279,7 +279,7 @@
         let row = self.snapshot.teams.team(&ask.team);
         match (ownership, row) {
             (Some(ownership), Some(row)) if leases.leaving_since.is_none() => {
-                leases.quota_owner.ask(now, ownership, row, ask)
+                leases.quota_owner.on_ask(now, ownership, row, ask)
             }
             _ => {
                 leases.seat_manager.note_unreachable_owner(now, &seat);
@@ -317,8 +317,8 @@
                 self.leases.seat_manager.set_owner_hint(seat, from);
             }
         }
-        if self.quota.reply(now, &team, number, reply) {
-            self.run_router(now, ingress::Event::Quota(team), out);
+        if self.quota.on_reply(now, &team, number, reply) {
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
         self.send_quota_messages(now, out);
     }
