--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -750,7 +750,7 @@
 }
 
 /// Converts an action of the inbound proxy. Returns `None` for
-/// [`inbound::Action::Orphan`], which the caller passes to this node's router to
+/// [`inbound::Action::EndNestedCalls`], which the caller passes to this node's router to
 /// end the nested calls.
 fn node_action(action: inbound::Action) -> Option<Action> {
     Some(match action {
--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -100,11 +100,11 @@
 /// be accumulated over a fifth of the window, so that both together stay within
 /// the bound.
 const RETRY_RATIO_SHARE: f64 = 0.8;
-const RETRY_AHEAD_SHARE: f64 = 0.2;
+const RETRY_BURST_WINDOW_SHARE: f64 = 0.2;
 /// The share of the slack that is granted at a constant rate, and the share that
 /// may be accumulated.
-const RETRY_FLOOR_SHARE: f64 = 0.4;
-const RETRY_SAVED_SHARE: f64 = 0.4;
+const RETRY_MIN_RATE_SHARE: f64 = 0.4;
+const RETRY_BURST_SHARE: f64 = 0.4;
 /// The share of the accumulated retries that is reserved for critical requests
 /// and calls.
 const CRITICAL_RETRY_SHARE: f64 = 0.5;
@@ -335,9 +335,9 @@
         let slack = bounds.retry_slack / nodes as f64;
         self.router.set_retry_limits(Limits {
             ratio: bounds.retry_ratio * RETRY_RATIO_SHARE,
-            min_rate: slack * RETRY_FLOOR_SHARE / seconds,
-            burst: slack * RETRY_SAVED_SHARE,
-            burst_window: bounds.retry_window.scale(RETRY_AHEAD_SHARE),
+            min_rate: slack * RETRY_MIN_RATE_SHARE / seconds,
+            burst: slack * RETRY_BURST_SHARE,
+            burst_window: bounds.retry_window.scale(RETRY_BURST_WINDOW_SHARE),
             critical_reserve: CRITICAL_RETRY_SHARE,
         });
     }
