--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -455,9 +455,9 @@
                 request,
                 token,
                 deadline,
-            } => self.start(request, token, deadline),
-            Action::Replay(peer, request, whole) => self.replay(&peer, request, *whole),
-            Action::Abort(request) => self.abort(request),
+            } => self.start_attempt(request, token, deadline),
+            Action::Replay(peer, request, whole) => self.replay_answer(&peer, request, *whole),
+            Action::Abort(request) => self.abort_attempt(request),
             Action::Datagram(to, message) => self.send_datagram(to, message),
             Action::Store(number, call) => self.ask(number, call),
             Action::Dial(peer) => self.dial(&peer),
@@ -702,7 +702,7 @@
         warmup::Status::Cold(until) => {
             log::info!(left_ms = now.until(until).as_ms(); "the upstream is cold")
         }
-        warmup::Status::Doubtful(doubt, _) => {
+        warmup::Status::MaybeCold(doubt, _) => {
             log::info!(doubt:? = doubt; "the upstream may be cold")
         }
     }
--- a/src/process/node/listed/tokens.rs
+++ b/src/process/node/listed/tokens.rs
@@ -1,4 +1,4 @@
-//! How a listed node carries the messages of token servers.
+//! Message transport of the token servers in discovery mode.
 
 use crate::{
     clock::Time,
@@ -12,27 +12,27 @@
 };
 
 impl Core {
-    pub(super) fn tokens_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waiting = self.router.charging();
+    pub(super) fn bank_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        let waiting = self.router.waiting_for_tokens();
         let Some(bank) = self.quota.bank() else {
             return;
         };
         for team in bank.tick(now, &waiting) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
-        self.send_tokens(out);
+        self.send_bank_messages(out);
     }
 
-    pub(in crate::process::node) fn send_tokens(&mut self, out: &mut Vec<Action>) {
+    pub(in crate::process::node) fn send_bank_messages(&mut self, out: &mut Vec<Action>) {
         let Some(bank) = self.quota.bank() else {
             return;
         };
         for (to, message) in bank.outbox() {
-            self.tell(&to, Message::Bank(message), out);
+            self.send_message(&to, Message::Bank(message), out);
         }
     }
 
-    pub(in crate::process::node) fn tokens(
+    pub(in crate::process::node) fn on_bank_message(
         &mut self,
         now: Time,
         message: bank::Message,
@@ -41,9 +41,9 @@
         let Some(bank) = self.quota.bank() else {
             return;
         };
-        if let Some(team) = bank.on(now, message) {
-            self.ingress(now, ingress::Event::Quota(team), out);
+        if let Some(team) = bank.on_message(now, message) {
+            self.run_router(now, ingress::Event::TokensChanged(team), out);
         }
-        self.send_tokens(out);
+        self.send_bank_messages(out);
     }
 }
