--- a/src/request/ingress/attempt.rs
+++ b/src/request/ingress/attempt.rs
@@ -482,10 +482,10 @@
         }
         if failure == Failure::NotRun(Code::Shed) {
             let rank = Rank::of(&call.context, env.policy.nested_first).0;
-            let passes = self
-                .balancer
-                .admits_elsewhere(env.members, &call.pool, &call.tried, rank);
-            if !passes {
+            let admitted =
+                self.balancer
+                    .admits_elsewhere(env.members, &call.pool, &call.tried, rank);
+            if !admitted {
                 return None;
             }
         }
@@ -506,8 +506,8 @@
             .get(&call.route)
             .copied()
             .unwrap_or(0.0);
-        let fits = now + Span::from_ms(typical_latency as u64) < call.deadline;
-        let free = match reason {
+        let fits_deadline = now + Span::from_ms(typical_latency as u64) < call.deadline;
+        let is_free = match reason {
             Reason::Leaving => {
                 !call.left_leaving_instance || call.reroutes < env.policy.max_reroutes
             }
@@ -518,7 +518,8 @@
             }
             Reason::Unknown | Reason::Failed => false,
         };
-        let allowed = fits && (free || self.take_retry(now, call_id, failure, no_retry, env));
+        let allowed =
+            fits_deadline && (is_free || self.take_retry(now, call_id, failure, no_retry, env));
         if !allowed {
             env.counts.add(Counter::Unretried(reason));
         }
@@ -542,8 +543,8 @@
         let is_rejection = failure == Failure::NotRun(Code::UpstreamRejected);
         let can_repeat =
             is_rejection && call.rejected_by.len() <= usize::from(env.policy.max_rejection_retries);
-        if let RetryLimit::PerHop(most) = env.policy.retry_limit {
-            return call.retries < most;
+        if let RetryLimit::PerHop(max_retries) = env.policy.retry_limit {
+            return call.retries < max_retries;
         }
         let pool = call.pool.clone();
         let importance = call.context.importance;
