--- a/src/process/node.rs
+++ b/src/process/node.rs
@@ -750,8 +750,8 @@
 }
 
 /// Converts an action of the inbound proxy. Returns `None` for
-/// [`inbound::Action::EndNestedCalls`], which the caller passes to this node's router to
-/// end the nested calls.
+/// [`inbound::Action::EndNestedCalls`], which is passed to this node's router
+/// instead.
 fn node_action(action: inbound::Action) -> Option<Action> {
     Some(match action {
         inbound::Action::Start {
--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -59,6 +59,7 @@
     wall_clock: Option<(Time, u64)>,
     plan: Plan,
     planned_at: Option<Time>,
+    /// Lease tickets by the identifier of the store call made for them.
     tickets: BTreeMap<u64, u64>,
     /// Consecutive requests for tokens that a seat's owner has not answered.
     unanswered_asks: BTreeMap<Seat, u32>,
@@ -71,9 +72,9 @@
 }
 
 impl Leases {
-    pub(super) fn new(instance: Instance, life: crate::id::Incarnation, seed: u64) -> Self {
+    pub(super) fn new(instance: Instance, incarnation: crate::id::Incarnation, seed: u64) -> Self {
         Self {
-            seat_manager: SeatManager::new(instance, life, seed),
+            seat_manager: SeatManager::new(instance, incarnation, seed),
             quota_owner: Owner::default(),
             record_owner: record::Owner::default(),
             record_directory: Directory::default(),
@@ -92,9 +93,9 @@
 impl Core {
     /// Sets the mode of rate sharing and the lease timing. Must be called when the
     /// node starts.
-    pub fn configure(&mut self, mode: Mode, setting: lease::Options) {
+    pub fn configure(&mut self, mode: Mode, options: lease::Options) {
         self.quota.set_mode(mode);
-        self.leases.seat_manager.configure(setting);
+        self.leases.seat_manager.configure(options);
         if let Mode::GrantsAndFixedShares(percent, _) = mode {
             self.leases.quota_owner.withhold_percent(percent);
         }
@@ -113,7 +114,7 @@
         {
             self.leases.planned_at = Some(now);
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
-            self.leases.record_directory.plan(plan.records());
+            self.leases.record_directory.plan(plan.record_seats());
             self.leases.plan = plan;
             self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -88,7 +88,7 @@
     }
 
     fn check_record(&mut self, now: Time, arrival: &Arrival, out: &mut Vec<Action>) -> Verdict {
-        let life = self.record_lifetime();
+        let lifetime = self.record_lifetime();
         let leases = &mut self.leases;
         let ownership = leases.seat_manager.ownership(now, &arrival.seat);
         let wall = leases
@@ -97,7 +97,7 @@
         if let Some(ownership) = ownership.filter(|_| leases.leaving_since.is_none()) {
             return leases
                 .record_owner
-                .arrive(now, ownership, arrival, life, wall);
+                .arrive(now, ownership, arrival, lifetime, wall);
         }
         if leases.leaving_since.is_none() {
             leases
@@ -167,10 +167,10 @@
     }
 
     pub(super) fn records_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let life = self.record_lifetime();
+        let lifetime = self.record_lifetime();
         let proxy = &self.proxy;
         let holds = |request| proxy.holds(request);
-        let fates = self.leases.record_owner.tick(now, life, holds);
+        let fates = self.leases.record_owner.tick(now, lifetime, holds);
         self.send_record_outcomes(now, fates, out);
     }
 
--- a/src/process/node/rights/seats.rs
+++ b/src/process/node/rights/seats.rs
@@ -64,13 +64,13 @@
             record_owners: BTreeMap::new(),
         };
         for row in &snapshot.tables.pools {
-            let own = select_record_owners(members, &row.name);
-            plan.record_owners.insert(row.name.clone(), own);
+            let owners = select_record_owners(members, &row.name);
+            plan.record_owners.insert(row.name.clone(), owners);
         }
         plan.wanted = all
             .filter(|seat| plan.candidate(seat, 0).as_ref() == Some(&me.instance))
             .collect();
-        let records = plan.records();
+        let records = plan.record_seats();
         let first = |(seat, ranked): (Seat, Vec<Instance>)| {
             (ranked.first() == Some(&me.instance)).then_some(seat)
         };
@@ -80,7 +80,7 @@
     }
 
     /// Returns the candidate owners of each slice of records, highest rank first.
-    pub(super) fn records(&self) -> BTreeMap<Seat, Vec<Instance>> {
+    pub(super) fn record_seats(&self) -> BTreeMap<Seat, Vec<Instance>> {
         let mut all = BTreeMap::new();
         for (pool, owners) in &self.record_owners {
             for number in 0..record::SLICES {
