--- a/src/process/node/rights.rs
+++ b/src/process/node/rights.rs
@@ -114,7 +114,9 @@
         {
             self.leases.planned_at = Some(now);
             let plan = Plan::new(&self.identity.peer, &self.members, &self.snapshot);
-            self.leases.record_directory.plan(plan.record_seats());
+            self.leases
+                .record_directory
+                .set_candidates(plan.record_seats());
             self.leases.plan = plan;
             self.quota.set_teams(now, &self.snapshot.teams.teams);
         }
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -22,8 +22,8 @@
     record::{
         self,
         Arrival,
-        Fate,
         Name,
+        Reply,
         Verdict, //
     },
 };
@@ -57,7 +57,7 @@
             key: claim.key.clone(),
         };
         let arrival = Arrival {
-            seat: record::seat(&route.pool, &name),
+            seat: record::seat_of(&route.pool, &name),
             name,
             fingerprint: claim.fingerprint,
             request,
@@ -78,7 +78,7 @@
             Verdict::Replay(whole) => Ok(whole),
             Verdict::Refuse(code) => Err(code),
         };
-        let fate = Fate {
+        let fate = Reply {
             peer: peer.clone(),
             request,
             answer,
@@ -97,7 +97,7 @@
         if let Some(ownership) = ownership.filter(|_| leases.leaving_since.is_none()) {
             return leases
                 .record_owner
-                .arrive(now, ownership, arrival, lifetime, wall);
+                .handle_arrival(now, ownership, arrival, lifetime, wall);
         }
         if leases.leaving_since.is_none() {
             leases
@@ -124,7 +124,7 @@
         request: id::Request,
         whole: Box<Whole>,
     ) {
-        self.leases.record_owner.keep(request, whole);
+        self.leases.record_owner.store_response(request, whole);
     }
 
     pub(in super::super) fn record_attempt_ended(
@@ -174,8 +174,8 @@
         self.send_record_outcomes(now, fates, out);
     }
 
-    fn send_record_outcomes(&mut self, now: Time, fates: Vec<Fate>, out: &mut Vec<Action>) {
-        for Fate {
+    fn send_record_outcomes(&mut self, now: Time, fates: Vec<Reply>, out: &mut Vec<Action>) {
+        for Reply {
             peer,
             request,
             answer,
@@ -206,7 +206,7 @@
         to: &id::Instance,
         out: &mut Vec<Action>,
     ) {
-        for (seat, epoch, records) in self.leases.record_owner.hand_on() {
+        for (seat, epoch, records) in self.leases.record_owner.export() {
             let message = record::Message::Records(seat, epoch, records);
             self.send_record_message(now, to, message, out);
         }
@@ -233,10 +233,10 @@
     ) {
         match message {
             record::Message::Elsewhere(seat, owner) => {
-                self.leases.record_directory.learn(seat, owner)
+                self.leases.record_directory.set_owner(seat, owner)
             }
             record::Message::Records(seat, epoch, records) => {
-                self.leases.record_owner.inherit(seat, epoch, records);
+                self.leases.record_owner.import(seat, epoch, records);
             }
         }
     }
--- a/src/process/node/rights/seats.rs
+++ b/src/process/node/rights/seats.rs
@@ -83,8 +83,8 @@
     pub(super) fn record_seats(&self) -> BTreeMap<Seat, Vec<Instance>> {
         let mut all = BTreeMap::new();
         for (pool, owners) in &self.record_owners {
-            for number in 0..record::SLICES {
-                let seat = record::slice(pool, number);
+            for number in 0..record::SLICES_PER_POOL {
+                let seat = record::slice_seat(pool, number);
                 let mut ranked = owners.clone();
                 ranked.sort_by_key(|instance| Reverse(rendezvous_score(&seat.0, instance)));
                 all.insert(seat, ranked);
