--- a/tests/platform/config.rs
+++ b/tests/platform/config.rs
@@ -39,7 +39,7 @@
 }
 
 fn read(document: &Value) -> Snapshot {
-    config::read(&document.to_string()).expect("a configuration")
+    config::parse(&document.to_string()).expect("a configuration")
 }
 
 #[test]
@@ -92,7 +92,7 @@
 }
 
 fn evacuates(key: &str, zone: Option<&str>) {
-    let domain = config::evacuated(key).map(|domain| domain.to_string());
+    let domain = config::evacuated_domain(key).map(|domain| domain.to_string());
     assert_eq!(domain.as_deref(), zone);
 }
 
@@ -149,7 +149,7 @@
 fn refused(change: fn(&mut Value), says: &str) {
     let mut document = document();
     change(&mut document["resources"]);
-    let error = config::read(&document.to_string()).expect_err("refused");
+    let error = config::parse(&document.to_string()).expect_err("refused");
     assert!(error.reason().contains(says), "{error}");
 }
 
@@ -170,7 +170,7 @@
 #[test]
 fn keys_are_taken_for_as_long_as_they_are_owed() {
     let bounds = [("revoke_ms".to_owned(), json!(5000))];
-    let bounds = bounds::read(&bounds.into());
+    let bounds = bounds::parse(&bounds.into());
     let question = Span::from_ms(1500);
     assert!(bounds.stale_after >= Span::from_ms(3000) + question);
     assert!(bounds.stale_after < Span::from_ms(5000));
@@ -184,6 +184,6 @@
 #[test]
 fn a_text_that_was_cut_names_its_place() {
     let text = document().to_string();
-    let error = config::read(&text[..text.len() / 2]).expect_err("refused");
+    let error = config::parse(&text[..text.len() / 2]).expect_err("refused");
     assert_eq!((error.number(), error.line()), (5003, 1));
 }
