--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -1,7 +1,8 @@
-//! Carries events to the decisions and their actions over the network.
+//! Feeds events to the decision core and carries out the actions it returns.
 //!
-//! Everything of a node runs on one thread, so the decisions see one event at
-//! a time. What a node sends to itself takes the same way without a socket.
+//! A node runs on a single thread, so the core handles one event at a time.
+//! Frames and datagrams that a node sends to itself go through the same
+//! handlers without a socket.
 
 use std::{
     cell::{
@@ -104,27 +105,28 @@
     pub(crate) head: Head,
     pub(crate) context: Context,
     pub(crate) claimed: bool,
-    /// What its lines in the log call it.
+    /// Name of the request in its log lines.
     pub(crate) name: Name,
     pub(crate) route: id::Route,
     pub(crate) arrived: Time,
     pub(crate) started: Option<Time>,
     pub(crate) inlet: Rc<Inlet>,
     pub(crate) outlet: Rc<Outlet>,
-    /// Dropping it aborts what the upstream does; absent before the start.
+    /// Aborts the exchange with the upstream when dropped; `None` before the
+    /// attempt starts.
     pub(crate) abort: Option<oneshot::Sender<()>>,
 }
 
-/// Time between two summaries in the log.
-const SUMMARY: Span = Span::from_secs(2);
+/// Minimum time between two summaries in the log.
+const SUMMARY_INTERVAL: Span = Span::from_secs(2);
 
-/// What everybody knows where the network is trusted.
-const TRUSTED: &str = "the network is trusted";
+/// Secret that all nodes share if the settings trust the network.
+const TRUSTED_NETWORK_SECRET: &str = "the network is trusted";
 
-/// Bytes of the headers of IP and UDP on a datagram.
-const DATAGRAM_HEADERS: usize = 28;
+/// Bytes that the IPv4 and UDP headers add to a datagram.
+const DATAGRAM_HEADER_BYTES: usize = 28;
 
-/// Datagrams and their bytes, with all headers.
+/// Counts of datagrams and of their bytes, including IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub(crate) struct Datagrams {
     messages_out: u64,
@@ -133,24 +135,25 @@
     bytes_in: u64,
 }
 
-/// One node with its sockets.
+/// I/O state of a node: its sockets, links, calls and attempts, together with
+/// the decision core that it drives.
 pub(crate) struct Carrier {
     weak: Weak<Self>,
     pub(crate) me: member::Peer,
     settings: RefCell<Rc<Settings>>,
     pub(crate) interface: Interface,
     pub(crate) announcer: RefCell<Announcer>,
-    /// The name that the upstream gave itself.
+    /// Name that the upstream announced for itself.
     pub(crate) target: RefCell<Option<String>>,
-    /// What the decisions were told last of the upstream.
+    /// Readiness of the upstream as last reported to the core.
     pub(crate) taking: Cell<bool>,
-    /// Connections in a row that the upstream did not accept.
+    /// Consecutive connection attempts that the upstream did not accept.
     pub(crate) refusals: Cell<u32>,
     pub(crate) ring: Ring,
     core: RefCell<Core>,
     queue: RefCell<VecDeque<Event>>,
-    busy: Cell<bool>,
-    numbers: Cell<u64>,
+    dispatching: Cell<bool>,
+    last_number: Cell<u64>,
     /// Open connections of callers.
     pub(crate) callers: Cell<usize>,
     counts: RefCell<Counts>,
@@ -164,14 +167,15 @@
     store: Option<Rc<dyn store::Store>>,
     draining: Cell<bool>,
     stopped: Cell<bool>,
-    left: Cell<bool>,
-    /// Writes what was decided on single requests.
+    leaving: Cell<bool>,
+    /// Logs the decisions made about individual requests.
     pub(crate) recorder: Recorder,
-    /// What the last summary in the log told, and when.
-    told: RefCell<(Time, Counts)>,
-    /// Told when the node begins to drain, and when it has stopped.
+    /// Time of the last summary in the log and the counts at that time.
+    last_summary: RefCell<(Time, Counts)>,
+    /// Notified when the node begins to drain, when the core stops and when a
+    /// call ends.
     changed: Notify,
-    /// Told when the first request comes after a time without any.
+    /// Notified when a request arrives at an idle node, and when draining begins.
     pub(crate) woken: Notify,
 }
 
@@ -195,12 +199,12 @@
             target: RefCell::default(),
             taking: Cell::new(false),
             refusals: Cell::new(0),
-            ring: Ring::new(ring(&settings)),
+            ring: Ring::new(link_secrets(&settings)),
             interface,
             core: RefCell::new(core),
             queue: RefCell::default(),
-            busy: Cell::new(false),
-            numbers: Cell::new(0),
+            dispatching: Cell::new(false),
+            last_number: Cell::new(0),
             callers: Cell::new(0),
             counts: RefCell::default(),
             calls: RefCell::default(),
@@ -218,9 +222,9 @@
             store,
             draining: Cell::new(false),
             stopped: Cell::new(false),
-            left: Cell::new(false),
+            leaving: Cell::new(false),
             recorder: Recorder::default(),
-            told: RefCell::default(),
+            last_summary: RefCell::default(),
             changed: Notify::new(),
             woken: Notify::new(),
             settings: RefCell::new(Rc::new(settings)),
@@ -235,8 +239,8 @@
         self.settings.borrow().clone()
     }
 
-    /// Goes by other settings from now on. Returns the fields that have changed
-    /// and hold only from the next start on; they keep their values.
+    /// Applies new settings to the running node. Returns the changed fields that
+    /// take effect only after a restart; these keep their values.
     pub(crate) fn reload(&self, newer: Settings, bounds: Bounds) -> Vec<&'static str> {
         let former = self.settings();
         let lasting = former.lasting(&newer);
@@ -262,8 +266,8 @@
     }
 
     pub(crate) fn next_number(&self) -> u64 {
-        let next = self.numbers.get() + 1;
-        self.numbers.set(next);
+        let next = self.last_number.get() + 1;
+        self.last_number.set(next);
         next
     }
 
@@ -271,7 +275,7 @@
         self.counts.borrow_mut().add(counter);
     }
 
-    /// What the input and output counted.
+    /// Counters of the I/O layer, as opposed to those of the core.
     pub(crate) fn counts(&self) -> Ref<'_, Counts> {
         self.counts.borrow()
     }
@@ -280,53 +284,54 @@
         self.draining.get()
     }
 
-    /// Whether connections of callers are getting scarce.
+    /// Whether callers hold more than half of the allowed connections.
     ///
-    /// Guards against callers that open a connection for each try and leave the
-    /// former ones idle: the limit is reached within seconds, and then new
-    /// callers are cut without an answer. Past half of it every answer tells its
-    /// caller that the connection closes.
+    /// Guards against callers that open a connection for each retry and leave
+    /// the previous ones idle: they reach the limit within seconds, and new
+    /// callers are then disconnected without an answer. Above half of the limit
+    /// every answer tells its caller that the connection will be closed.
     pub(crate) fn is_crowded(&self) -> bool {
         self.callers.get() > self.limits().connections / 2
     }
 
-    /// Waits until the node is told to stop.
+    /// Waits until the node begins to drain.
     pub(crate) async fn drained(&self) {
         while !self.draining.get() {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until the decisions have ended, and no caller waits.
+    /// Waits until the core has stopped and no call is pending.
     pub(crate) async fn stopped(&self) {
         while !self.stopped.get() || !self.calls.borrow().is_empty() {
             self.changed.notified().await;
         }
     }
 
-    /// Whether the service said that it leaves.
+    /// Whether the service last announced that it is leaving.
     pub(crate) fn has_left(&self) -> bool {
-        self.left.get()
+        self.leaving.get()
     }
 
-    /// The service says that it takes requests, or that it leaves.
+    /// Handles an announcement of the service that it is ready for requests, or
+    /// that it is leaving.
     pub(crate) fn announce(&self, ready: bool) {
-        self.left.set(!ready);
-        // Said again, it is no other life.
-        let is_news = ready && !self.core().is_offered();
-        if is_news {
+        self.leaving.set(!ready);
+        // A repeated announcement does not mean that the upstream restarted.
+        let is_new_start = ready && !self.core().is_offered();
+        if is_new_start {
             let life = self.me.incarnation.0.wrapping_add(self.next_number());
             self.on(Event::UpstreamStarted(id::Upstream(life)));
         }
         self.on(Event::UpstreamReady(ready));
     }
 
-    /// Whether any request is under way.
+    /// Whether any call or received attempt is in progress.
     pub(crate) fn is_busy(&self) -> bool {
         !self.calls.borrow().is_empty() || !self.running.borrow().is_empty()
     }
 
-    /// Requests under way: calls, attempts sent, attempts received.
+    /// Numbers of calls, sent attempts and received attempts in progress.
     pub(crate) fn load(&self) -> (usize, usize, usize) {
         (
             self.calls.borrow().len(),
@@ -335,13 +340,13 @@
         )
     }
 
-    /// Whether an attempt at the peer is under way.
+    /// Whether an attempt sent to the peer is in progress.
     pub(crate) fn attempts_at(&self, peer: &id::Instance) -> bool {
         let attempts = self.attempts.borrow();
         attempts.values().any(|attempt| attempt.peer == *peer)
     }
 
-    /// The attempts at the peer that are under way.
+    /// Attempts sent to the peer that are in progress.
     pub(crate) fn attempts_of(&self, peer: &id::Instance) -> Vec<id::Request> {
         let attempts = self.attempts.borrow();
         let theirs = attempts.iter().filter(|(_, attempt)| attempt.peer == *peer);
@@ -362,15 +367,15 @@
         }
     }
 
-    /// Registers a call.
+    /// Registers a call. Its guard finishes the call when dropped.
     pub(crate) fn begin(&self, call: id::Call, pending: Pending) -> Guard {
         self.wake();
         self.calls.borrow_mut().insert(call, pending);
-        let carrier = self.weak.upgrade().expect("a carrier is held by a pointer");
+        let carrier = self.weak.upgrade().expect("the carrier is owned by an Rc");
         Guard { carrier, call }
     }
 
-    /// The caller of a call has its answer, or is gone.
+    /// Removes a call whose caller has received its answer or disconnected.
     pub(crate) fn finish(&self, call: id::Call) {
         let ended = self.calls.borrow_mut().remove(&call);
         if let Some(pending) = ended.filter(|pending| pending.reply.is_some()) {
@@ -380,11 +385,11 @@
         self.changed.notify_waiters();
     }
 
-    /// Hands an event to the decisions and does what they say. An event that
-    /// comes up meanwhile waits for its turn.
+    /// Passes an event to the core and executes the resulting actions. Events
+    /// raised meanwhile are queued and handled in order.
     pub(crate) fn on(&self, event: Event) {
         self.queue.borrow_mut().push_back(event);
-        if self.busy.replace(true) {
+        if self.dispatching.replace(true) {
             return;
         }
         let mut actions = Vec::new();
@@ -396,14 +401,14 @@
             let now = Clock.now();
             self.core.borrow_mut().on(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.execute(action);
             }
             self.clean(after);
         }
-        self.busy.set(false);
+        self.dispatching.set(false);
     }
 
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
             Action::Send {
                 call,
@@ -423,7 +428,7 @@
                 let Some(head) = head else { return };
                 self.record_sent(call, request, &peer, &route, &context);
                 let length = head.length;
-                let outlet = self.attempt(call, request, &peer);
+                let outlet = self.register_attempt(call, request, &peer);
                 let frame = Frame::Attempt {
                     request,
                     life,
@@ -459,9 +464,9 @@
             Action::Replay(peer, request, whole) => self.replay_answer(&peer, request, *whole),
             Action::Abort(request) => self.abort_attempt(request),
             Action::Datagram(to, message) => self.send_datagram(to, message),
-            Action::Store(number, call) => self.ask(number, call),
+            Action::Store(number, call) => self.query_store(number, call),
             Action::Dial(peer) => self.dial(&peer),
-            Action::Log(note) => tell(&note),
+            Action::Log(event) => log_event(&event),
             Action::Stop => {
                 self.stopped.set(true);
                 self.changed.notify_waiters();
@@ -469,8 +474,13 @@
         }
     }
 
-    /// Registers an attempt about to be sent.
-    fn attempt(&self, call: id::Call, request: id::Request, peer: &id::Instance) -> Rc<Outlet> {
+    /// Registers an attempt that is about to be sent.
+    fn register_attempt(
+        &self,
+        call: id::Call,
+        request: id::Request,
+        peer: &id::Instance,
+    ) -> Rc<Outlet> {
         let outlet = Outlet::new();
         let attempt = Attempt {
             call,
@@ -483,7 +493,8 @@
         outlet
     }
 
-    /// A receiving end that grants room to its peer.
+    /// Creates the receiving end of a body, which sends flow-control credit to the
+    /// peer.
     pub(crate) fn inlet(&self, peer: &id::Instance, request: id::Request, side: Side) -> Rc<Inlet> {
         let (weak, peer) = (self.weak.clone(), peer.clone());
         Inlet::new(move |bytes| {
@@ -512,7 +523,7 @@
         }
     }
 
-    /// Refuses a call. When its answer has begun already, it is cut.
+    /// Refuses a call. An answer that has already begun is cut off.
     pub(crate) fn refuse(&self, call: id::Call, code: Code, wait: Option<Span>) {
         let mut calls = self.calls.borrow_mut();
         let Some(pending) = calls.get_mut(&call) else {
@@ -528,7 +539,7 @@
         }
     }
 
-    /// Sends a frame to a node, this one included.
+    /// Sends a frame to a node, possibly this one.
     pub(crate) fn transmit(&self, peer: &id::Instance, frame: Frame) {
         if *peer == self.me.instance {
             let _ = self.receive(peer, frame);
@@ -544,12 +555,12 @@
         }
     }
 
-    /// Takes a datagram as it came from the network.
+    /// Authenticates, decodes and handles a datagram from the network.
     pub(crate) fn receive_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         let received = self.datagrams.get();
         self.datagrams.set(Datagrams {
             messages_in: received.messages_in + 1,
-            bytes_in: received.bytes_in + (bytes.len() + DATAGRAM_HEADERS) as u64,
+            bytes_in: received.bytes_in + (bytes.len() + DATAGRAM_HEADER_BYTES) as u64,
             ..received
         });
         let message = self.ring.open(bytes).map(Message::decode);
@@ -572,15 +583,15 @@
             let sent = self.datagrams.get();
             self.datagrams.set(Datagrams {
                 messages_out: sent.messages_out + 1,
-                bytes_out: sent.bytes_out + (bytes.len() + DATAGRAM_HEADERS) as u64,
+                bytes_out: sent.bytes_out + (bytes.len() + DATAGRAM_HEADER_BYTES) as u64,
                 ..sent
             });
-            // A datagram that the system does not take is a lost datagram.
+            // Datagrams may be lost anyway, so a failed send counts as a loss.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    /// Datagrams since the node began.
+    /// Datagram counts since the node started.
     pub(crate) fn datagrams(&self) -> Datagrams {
         self.datagrams.get()
     }
@@ -591,7 +602,7 @@
         }
     }
 
-    fn ask(&self, number: u64, call: store::Call) {
+    fn query_store(&self, number: u64, call: store::Call) {
         let Some(store) = self.store.clone() else {
             return self.on(Event::StoreAnswer(number, store::Answer::Lost));
         };
@@ -604,59 +615,59 @@
         });
     }
 
-    /// Logs what was counted since the last summary. Single refusals may be too
-    /// many for the log; their sum by reason never is.
+    /// Logs how the counters changed since the last summary. Individual refusals
+    /// may be too numerous to log, but their totals by reason always fit.
     pub(crate) fn summarize(&self, now: Time) {
-        let mut told = self.told.borrow_mut();
-        if now.since(told.0) < SUMMARY {
+        let mut last_summary = self.last_summary.borrow_mut();
+        if now.since(last_summary.0) < SUMMARY_INTERVAL {
             return;
         }
         let core = self.core();
         let counts = core.counts();
-        let news: Vec<_> = counts
+        let changes: Vec<_> = counts
             .iter()
-            .map(|(counter, count)| (counter, count - told.1.get(counter)))
+            .map(|(counter, count)| (counter, count - last_summary.1.get(counter)))
             .filter(|(_, count)| *count > 0)
             .map(|(counter, count)| format!("{counter:?}={count}"))
             .collect();
         let load = core.load(now);
         let left_out = self.recorder.left_out();
-        if !news.is_empty() {
+        if !changes.is_empty() {
             log::info!(
-                counts = news.join(" "), running = load.running, limit = load.limit,
+                counts = changes.join(" "), running = load.running, limit = load.limit,
                 waiting = load.waiting, shed_level = load.level, left_out = left_out,
                 dropped = crate::log::dropped();
                 "summary"
             );
         }
-        *told = (now, counts.clone());
+        *last_summary = (now, counts.clone());
     }
 
     pub(crate) fn weak(&self) -> Weak<Self> {
         self.weak.clone()
     }
 
-    /// Looks at a call that is under way.
+    /// Applies a function to a call in progress; `None` if there is no such call.
     pub(crate) fn with_call<T>(
         &self,
         call: id::Call,
-        look: impl FnOnce(&mut Pending) -> T,
+        apply: impl FnOnce(&mut Pending) -> T,
     ) -> Option<T> {
-        self.calls.borrow_mut().get_mut(&call).map(look)
+        self.calls.borrow_mut().get_mut(&call).map(apply)
     }
 }
 
-/// The secrets of the links. Where the network is trusted everybody knows the
-/// same one, so that there is one handshake.
-fn ring(settings: &Settings) -> Vec<Secret> {
+/// Returns the secrets that authenticate links and datagrams. On a trusted
+/// network all nodes share one well-known secret, so only one handshake exists.
+fn link_secrets(settings: &Settings) -> Vec<Secret> {
     match settings.trust_network {
-        true => vec![Secret::new(TRUSTED)],
+        true => vec![Secret::new(TRUSTED_NETWORK_SECRET)],
         false => settings.secrets.clone(),
     }
 }
 
-fn tell(note: &LogEvent) {
-    match note {
+fn log_event(event: &LogEvent) {
+    match event {
         LogEvent::ConfigAdopted(version) => {
             log::info!(version = version.0; "a configuration is in force")
         }
@@ -672,7 +683,7 @@
             life:% = peer.incarnation, status:% = peer.status; "a member is there"
         ),
         LogEvent::MemberRemoved(name) => log::info!(peer:% = name; "a member is gone"),
-        LogEvent::Warmup(status) => tell_warmup(*status),
+        LogEvent::Warmup(status) => log_warmup(*status),
         LogEvent::Limit(Limit::Named(rate)) => {
             log::info!(per_second = rate.as_f64(); "the upstream names a limit")
         }
@@ -695,7 +706,7 @@
     }
 }
 
-fn tell_warmup(status: warmup::Status) {
+fn log_warmup(status: warmup::Status) {
     let now = Clock.now();
     match status {
         warmup::Status::Warm => log::info!("the upstream is warm"),
@@ -708,8 +719,8 @@
     }
 }
 
-/// Frames that an ingress sends to an inbound proxy, over the link that it
-/// dialed itself.
+/// Whether an ingress sends this frame to an inbound proxy, over a link that the
+/// ingress dialed.
 pub(crate) fn is_for_inbound(frame: &Frame) -> bool {
     match frame {
         Frame::Attempt { .. }
