--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -1,4 +1,4 @@
-//! One node with its four listeners, from its start to its stop.
+//! Runs a node: opens its listeners, starts its tasks and shuts them down.
 
 use std::{
     cell::Cell,
@@ -71,134 +71,138 @@
     store::Store,
 };
 
-/// Time between two ticks while requests are under way.
-const TICK: Span = Span::from_ms(10);
+/// Maximum time between two ticks while requests are in progress.
+const BUSY_TICK: Span = Span::from_ms(10);
 
-/// Time between two ticks while there are none.
+/// Time between two ticks while the node is idle.
 const IDLE_TICK: Span = Span::from_ms(100);
 
-/// Time between two looks at idle connections.
-const PRUNE: Span = Span::from_secs(1);
+/// Minimum time between two rounds of maintenance, such as pruning idle
+/// connections.
+const MAINTENANCE_INTERVAL: Span = Span::from_secs(1);
 
-/// Time to drain, when no configuration says it.
-const DRAIN: Span = Span::from_secs(30);
+/// Drain time if the configuration does not contain the pool.
+const DEFAULT_DRAIN_TIME: Span = Span::from_secs(30);
 
-/// Time for the last bytes of answers and frames to leave the node.
-const LINGER: Span = Span::from_ms(500);
+/// Time allowed for the last bytes of answers and frames to be sent when the node
+/// stops, and for a client to disconnect.
+const FLUSH_TIMEOUT: Span = Span::from_ms(500);
 
-/// How often a call goes on to another instance because one refused it before
-/// its upstream had seen it. With more, callers wait longer for a refusal that
-/// nearly all instances would give.
-const REROUTES: u8 = 2;
+/// Maximum number of times that a call moves on to another instance because one
+/// refused it before its upstream saw it. A higher limit makes callers wait
+/// longer for a refusal that nearly all instances would give.
+const MAX_REROUTES: u8 = 2;
 
-/// How often a call is sent again to an upstream that said that it has not run
-/// it, once it may go to no further one. An upstream that sheds every other
-/// request lets so all but one in thirty through in the end; the pool's budget
-/// bounds what this costs.
-const REJECTIONS: u8 = 4;
+/// Maximum number of times that a call is resent to an upstream that reported
+/// not having run it, once no other instance may be tried. If an upstream sheds
+/// every other request, all but one in thirty calls succeed in the end. The
+/// pool's retry budget bounds the cost.
+const MAX_REJECTION_RETRIES: u8 = 4;
 
-/// How long a call waits for a rate token where rates have no owner. Tokens come
-/// evenly, so a team inside its rate gets one sooner, and one that is over it
-/// should hear so while its callers can still come back.
-const TOKEN_WAIT: Span = Span::from_ms(150);
+/// Maximum time that a call waits for a rate token where rates have no owner.
+/// Tokens arrive evenly, so a team within its rate gets one sooner. A team over
+/// its rate should be refused while its callers still have time to retry.
+const MAX_TOKEN_WAIT: Span = Span::from_ms(150);
 
-/// How often a pair of a TCP and a UDP socket on one free number is tried for.
-const BIND_TRIES: usize = 16;
+/// Maximum number of attempts to bind TCP and UDP to the same free port.
+const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// Where a node listens, as the system gave the addresses.
+/// Addresses that a node listens on, with the ports assigned by the system.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the service beside the node.
+    /// For the local service that runs next to the node.
     pub service: SocketAddr,
     /// For links and datagrams.
     pub links: SocketAddr,
     /// For operators.
     pub operators: SocketAddr,
-    /// For announcements of the service, where they have a place of their own.
+    /// For announcements of the service, if they have a listener of their own.
     pub announcements: Option<SocketAddr>,
-    /// For the question whether callers may be sent here.
+    /// For readiness checks, which tell whether callers may be sent to this node.
     pub ready: Option<SocketAddr>,
 }
 
 /// How a node stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// Everything that ran came to its end.
+    /// All requests in progress completed.
     Clean,
-    /// The pool's drain time was over first, and what still ran was cut.
+    /// The grace period or drain time ended first, and the remaining requests
+    /// were cut off.
     Cut,
 }
 
-/// Steers a node, while [`Server::wait`] holds it.
+/// Controls a node while [`Server::wait`] owns the server.
 #[derive(Clone)]
 pub struct Handle(Rc<Carrier>);
 
 impl Handle {
-    /// Begins to stop: takes nothing new and finishes what runs.
+    /// Begins to drain: accepts no new requests and completes those in progress.
     pub fn drain(&self) {
         self.0.drain();
     }
 
-    /// Goes by other settings from now on: limits, times, bounds and the
-    /// operators' token. Returns the fields that have changed besides and hold
-    /// only from the next start on.
+    /// Applies new settings to the running node: limits, times, bounds and the
+    /// operators' token. Returns the other changed fields, which take effect only
+    /// after a restart.
     pub fn reload(&self, settings: Settings, bounds: Bounds) -> Vec<&'static str> {
         self.0.reload(settings, bounds)
     }
 }
 
-/// Open connections of callers, the service and operators.
+/// Tracks the open HTTP connections and tells them when to close.
 #[derive(Default)]
-struct Doors {
-    open: Cell<usize>,
+struct OpenConnections {
+    count: Cell<usize>,
     closing: Cell<bool>,
-    close: Notify,
-    changed: Notify,
+    close_requested: Notify,
+    count_changed: Notify,
 }
 
 /// A running node.
 pub struct Server {
     carrier: Rc<Carrier>,
     addresses: Addresses,
-    doors: Rc<Doors>,
+    connections: Rc<OpenConnections>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Server {
-    /// Opens the listeners and begins to work.
+    /// Opens the listeners and starts the tasks of the node.
     ///
-    /// Call it on an actix runtime: everything stays on the present thread.
+    /// Must be called on an actix runtime; all tasks run on the current thread.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// Returns an error if a listener cannot be bound.
     pub async fn start(settings: Settings, store: Option<Rc<dyn Store>>) -> Result<Self> {
         Self::start_in(settings, store, Interface::own(), Bounds::default()).await
     }
 
-    /// The same, in other surroundings than the product's own.
+    /// Like [`Server::start`], but with the given interface to the platform and
+    /// bounds instead of the defaults.
     ///
     /// # Errors
     ///
-    /// As [`Server::start`].
+    /// Returns an error in the same cases as [`Server::start`].
     pub async fn start_in(
         settings: Settings,
         store: Option<Rc<dyn Store>>,
         interface: Interface,
         bounds: Bounds,
     ) -> Result<Self> {
-        let doors = Listeners::bind(&settings).await?;
+        let listeners = Listeners::bind(&settings).await?;
         let (links, socket) = bind_pair(settings.listen.links).await?;
-        let addresses = doors.addresses(links.local_addr()?)?;
+        let addresses = listeners.addresses(links.local_addr()?)?;
         let mut me = identity(&settings, addresses.links);
         let mut restarted = false;
         if interface.configuration.is_some()
             && let Some(store) = &store
-            && let Some(former) = directory::previous_incarnation(&**store, &me.instance).await
+            && let Some(previous) = directory::previous_incarnation(&**store, &me.instance).await
         {
-            me.incarnation = me.incarnation.max(id::Incarnation(former.0 + 1));
+            me.incarnation = me.incarnation.max(id::Incarnation(previous.0 + 1));
             restarted = true;
         }
         let mut core = Core::new(Identity {
@@ -212,10 +216,10 @@
                 core.mark_restarted();
             }
             core.set_policy(Policy {
-                max_reroutes: REROUTES,
-                max_rejection_retries: REJECTIONS,
+                max_reroutes: MAX_REROUTES,
+                max_rejection_retries: MAX_REJECTION_RETRIES,
                 attribution: true,
-                max_token_wait: TOKEN_WAIT,
+                max_token_wait: MAX_TOKEN_WAIT,
                 ..Policy::default()
             });
         }
@@ -223,14 +227,14 @@
         let mut server = Self {
             carrier,
             addresses,
-            doors: Rc::default(),
+            connections: Rc::default(),
             tasks: Vec::new(),
         };
-        server.open(doors, links).await;
+        server.spawn_tasks(listeners, links).await;
         Ok(server)
     }
 
-    async fn open(&mut self, listeners: Listeners, links: TcpListener) {
+    async fn spawn_tasks(&mut self, listeners: Listeners, links: TcpListener) {
         let carrier = &self.carrier;
         let Listeners {
             callers,
@@ -242,122 +246,132 @@
         match service {
             Some(service) => {
                 for (listener, side) in [(callers, Side::Callers), (service, Side::Service)] {
-                    let serving = carrier.clone();
-                    let answer = move |request| caller::serve(serving.clone(), side, request);
-                    let task = http(carrier.clone(), self.doors.clone(), listener, answer);
+                    let handler_carrier = carrier.clone();
+                    let handler =
+                        move |request| caller::serve(handler_carrier.clone(), side, request);
+                    let task =
+                        serve_http(carrier.clone(), self.connections.clone(), listener, handler);
                     self.tasks.push(actix_rt::spawn(task));
                 }
             }
-            // Where the service has no door of its own it comes in with the
+            // Without a listener of its own, the service uses that of the
             // callers.
             None => {
-                let task = accept_callers(carrier.clone(), self.doors.clone(), callers);
+                let task = accept_callers(carrier.clone(), self.connections.clone(), callers);
                 self.tasks.push(actix_rt::spawn(task));
             }
         }
         if let Some(listener) = announcements {
-            let serving = carrier.clone();
-            let answer = move |request| beside::serve(serving.clone(), request);
-            let task = http(carrier.clone(), self.doors.clone(), listener, answer);
+            let handler_carrier = carrier.clone();
+            let handler = move |request| beside::serve(handler_carrier.clone(), request);
+            let task = serve_http(carrier.clone(), self.connections.clone(), listener, handler);
             self.tasks.push(actix_rt::spawn(task));
         }
         if let Some(listener) = ready {
-            let serving = carrier.clone();
-            let answer = move |request| readiness(serving.clone(), request);
-            let task = http(carrier.clone(), self.doors.clone(), listener, answer);
+            let handler_carrier = carrier.clone();
+            let handler = move |request| readiness(handler_carrier.clone(), request);
+            let task = serve_http(carrier.clone(), self.connections.clone(), listener, handler);
             self.tasks.push(actix_rt::spawn(task));
         }
         let operator = Rc::new(export::Operator::new(carrier.clone()));
-        let answer = move |request| export::serve(operator.clone(), request);
-        let task = http(carrier.clone(), self.doors.clone(), operators, answer);
+        let handler = move |request| export::serve(operator.clone(), request);
+        let task = serve_http(
+            carrier.clone(),
+            self.connections.clone(),
+            operators,
+            handler,
+        );
         self.tasks.push(actix_rt::spawn(task));
         for task in [
             actix_rt::spawn(accept_links(carrier.clone(), links)),
             actix_rt::spawn(receive_datagrams(carrier.clone())),
-            actix_rt::spawn(tick(carrier.clone())),
+            actix_rt::spawn(run_ticks(carrier.clone())),
             actix_rt::spawn(probe::run(carrier.clone())),
         ] {
             self.tasks.push(task);
         }
     }
 
-    /// Where it listens.
+    /// Returns the addresses that the node listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// The node as its peers see it.
+    /// Returns the member entry under which peers know this node.
     pub fn peer(&self) -> Peer {
         self.carrier.me.clone()
     }
 
-    /// Puts a configuration in force, for trials and tests without a platform.
+    /// Adopts a configuration, for experiments and tests without a platform.
     pub fn adopt(&self, snapshot: document::Shared) {
         self.carrier.core_mut().adopt(snapshot);
     }
 
-    /// Adds a member, for trials and tests without a platform.
+    /// Adds a member, for experiments and tests without a platform.
     pub fn join(&self, peer: Peer) {
         self.carrier.core_mut().members().insert(peer);
     }
 
-    /// Tells that the upstream takes requests, or that it leaves.
+    /// Reports that the upstream is ready for requests, or that it is leaving.
     pub fn announce(&self, ready: bool) {
         self.carrier.on(Event::UpstreamReady(ready));
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the active configuration.
     pub fn version(&self) -> id::Version {
         self.carrier.core().snapshot().version
     }
 
-    /// What the decisions have counted.
+    /// Returns the counters of the decision core.
     pub fn counts(&self) -> Counts {
         self.carrier.core().counts().clone()
     }
 
-    /// What the input and output have counted.
+    /// Returns the counters of the I/O layer.
     pub fn traffic(&self) -> Counts {
         self.carrier.counts().clone()
     }
 
-    /// Calls, attempts sent and attempts received that are under way.
+    /// Returns the numbers of calls, sent attempts and received attempts in
+    /// progress.
     pub fn load(&self) -> (usize, usize, usize) {
         self.carrier.load()
     }
 
-    /// Links that this node made, and that others made to it.
+    /// Returns the numbers of outgoing and incoming links.
     pub fn links(&self) -> (usize, usize) {
         self.carrier.links.len()
     }
 
-    /// Whether it was told to stop.
+    /// Returns whether the node is draining.
     pub fn is_draining(&self) -> bool {
         self.carrier.is_draining()
     }
 
-    /// Breaks every link at once, as a network fault would.
+    /// Breaks all links at once, as a network fault would.
     pub fn cut_links(&self) {
         self.carrier.links.cut(&self.carrier);
     }
 
-    /// Something to stop the node with, while [`Server::wait`] holds it.
+    /// Returns a handle that controls the node while [`Server::wait`] owns the
+    /// server.
     pub fn handle(&self) -> Handle {
         Handle(self.carrier.clone())
     }
 
-    /// Begins to stop: takes nothing new and finishes what runs.
+    /// Begins to drain: accepts no new requests and completes those in progress.
     pub fn drain(&self) {
         self.carrier.drain();
     }
 
-    /// Waits until the node was told to stop and everything has ended, at most
-    /// for the pool's drain time, and closes all sockets.
+    /// Waits until the node begins to drain and then until all requests have
+    /// ended, but no longer than the grace period in the settings or else the
+    /// pool's drain time. Then closes all sockets.
     pub async fn wait(self) -> Stop {
         self.carrier.drained().await;
         let limit = match self.carrier.settings().grace {
-            // The last bytes are to leave within the same time.
-            Some(grace) => grace - LINGER,
+            // The grace period includes the time for flushing the last bytes.
+            Some(grace) => grace - FLUSH_TIMEOUT,
             None => self.drain_time(),
         };
         let stopped = tokio::time::timeout(limit.to_std(), self.carrier.stopped()).await;
@@ -371,22 +385,22 @@
     fn drain_time(&self) -> Span {
         let core = self.carrier.core();
         let pool = core.snapshot().tables.pool(&self.carrier.settings().pool);
-        pool.map_or(DRAIN, |pool| pool.drain)
+        pool.map_or(DEFAULT_DRAIN_TIME, |pool| pool.drain)
     }
 
-    /// Closes idle connections and lets the last bytes out.
+    /// Closes idle connections and flushes the last bytes.
     async fn close(&self) {
-        self.doors.closing.set(true);
-        self.doors.close.notify_waiters();
-        let emptied = async {
-            while self.doors.open.get() > 0 {
-                self.doors.changed.notified().await;
+        self.connections.closing.set(true);
+        self.connections.close_requested.notify_waiters();
+        let all_closed = async {
+            while self.connections.count.get() > 0 {
+                self.connections.count_changed.notified().await;
             }
         };
-        let _ = tokio::time::timeout(LINGER.to_std(), emptied).await;
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT.to_std(), all_closed).await;
         self.carrier.links.close();
-        // One turn lets the writers of the links see that they are closed.
-        tokio::time::sleep(TICK.to_std()).await;
+        // Gives the writer tasks of the links a chance to notice the close.
+        tokio::time::sleep(BUSY_TICK.to_std()).await;
     }
 }
 
@@ -397,7 +411,7 @@
     }
 }
 
-/// The listeners of a node but for its links.
+/// The listeners of a node, except the one for links.
 struct Listeners {
     callers: TcpListener,
     service: Option<TcpListener>,
@@ -409,13 +423,13 @@
 impl Listeners {
     async fn bind(settings: &Settings) -> Result<Self> {
         let listen = &settings.listen;
-        let own = listen.announcements.is_none();
+        let has_service_listener = listen.announcements.is_none();
         Ok(Self {
             callers: TcpListener::bind(listen.callers).await?,
-            service: bind_if(own.then_some(listen.service)).await?,
+            service: bind_optional(has_service_listener.then_some(listen.service)).await?,
             operators: TcpListener::bind(listen.operators).await?,
-            announcements: bind_if(listen.announcements).await?,
-            ready: bind_if(listen.ready).await?,
+            announcements: bind_optional(listen.announcements).await?,
+            ready: bind_optional(listen.ready).await?,
         })
     }
 
@@ -427,24 +441,24 @@
             service: service.transpose()?.unwrap_or(callers),
             links,
             operators: self.operators.local_addr()?,
-            announcements: place(self.announcements.as_ref())?,
-            ready: place(self.ready.as_ref())?,
+            announcements: local_addr(self.announcements.as_ref())?,
+            ready: local_addr(self.ready.as_ref())?,
         })
     }
 }
 
-fn place(listener: Option<&TcpListener>) -> Result<Option<SocketAddr>> {
+fn local_addr(listener: Option<&TcpListener>) -> Result<Option<SocketAddr>> {
     Ok(listener.map(TcpListener::local_addr).transpose()?)
 }
 
-async fn bind_if(address: Option<SocketAddr>) -> Result<Option<TcpListener>> {
+async fn bind_optional(address: Option<SocketAddr>) -> Result<Option<TcpListener>> {
     Ok(match address {
         Some(address) => Some(TcpListener::bind(address).await?),
         None => None,
     })
 }
 
-/// Answers whether callers may be sent here.
+/// Answers a readiness check.
 async fn readiness(carrier: Rc<Carrier>, request: Request) -> Response<BoxBody> {
     if request.path() != carrier.interface.ready_path {
         return Response::new(StatusCode::NOT_FOUND).set_body(BoxBody::new(()));
@@ -456,12 +470,16 @@
     Response::new(status).set_body(BoxBody::new(()))
 }
 
-/// Takes connections of callers.
-async fn accept_callers(carrier: Rc<Carrier>, doors: Rc<Doors>, listener: TcpListener) {
+/// Accepts connections of callers.
+async fn accept_callers(
+    carrier: Rc<Carrier>,
+    connections: Rc<OpenConnections>,
+    listener: TcpListener,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // The process has no room for more sockets just now.
-            tokio::time::sleep(TICK.to_std()).await;
+            // Usually the process has run out of file descriptors.
+            tokio::time::sleep(BUSY_TICK.to_std()).await;
             continue;
         };
         if carrier.callers.get() >= carrier.limits().connections {
@@ -469,14 +487,19 @@
             continue;
         }
         let _ = stream.set_nodelay(true);
-        let (carrier, doors) = (carrier.clone(), doors.clone());
+        let (carrier, connections) = (carrier.clone(), connections.clone());
         actix_rt::spawn(async move {
             carrier.callers.set(carrier.callers.get() + 1);
-            doors.open.set(doors.open.get() + 1);
-            door::serve(carrier.clone(), stream, closed(doors.clone())).await;
+            connections.count.set(connections.count.get() + 1);
+            door::serve(
+                carrier.clone(),
+                stream,
+                close_requested(connections.clone()),
+            )
+            .await;
             carrier.callers.set(carrier.callers.get() - 1);
-            doors.open.set(doors.open.get() - 1);
-            doors.changed.notify_waiters();
+            connections.count.set(connections.count.get() - 1);
+            connections.count_changed.notify_waiters();
         });
     }
 }
@@ -488,26 +511,29 @@
         pool: settings.pool.clone(),
         link: links,
         datagram: links,
-        incarnation: incarnation(),
+        incarnation: generate_incarnation(),
         status: Status::Alive,
         ready: false,
     }
 }
 
-/// Bits of an incarnation that tell nodes apart that began at the same time.
-const RANDOM_BITS: u32 = 22;
-
-/// A life that no other node has: numbers of requests begin with it, so two
-/// nodes that began in the same millisecond would else give the same numbers
-/// to different requests, and answers would cross. A later life of the same
-/// node is higher, as its clock went on meanwhile.
-fn incarnation() -> id::Incarnation {
-    let random = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
-    id::Incarnation(Clock.wall() << RANDOM_BITS | random)
+/// Random bits in an incarnation, which distinguish nodes that started in the
+/// same millisecond.
+const INCARNATION_RANDOM_BITS: u32 = 22;
+
+/// Generates an incarnation that no other node has.
+///
+/// Request IDs begin with the incarnation. Without the random bits, two nodes
+/// that started in the same millisecond would give the same IDs to different
+/// requests, and their answers would be mixed up. After a restart a node gets a
+/// higher incarnation because its clock has advanced.
+fn generate_incarnation() -> id::Incarnation {
+    let random = rand::random::<u64>() >> (u64::BITS - INCARNATION_RANDOM_BITS);
+    id::Incarnation(Clock.wall() << INCARNATION_RANDOM_BITS | random)
 }
 
-/// Binds links and datagrams to the same number. When the system picks it, the
-/// other protocol's may be taken, so a few are tried.
+/// Binds TCP for links and UDP for datagrams to the same port. A port that the
+/// system picks for TCP may be in use for UDP, so several are tried.
 async fn bind_pair(address: SocketAddr) -> Result<(TcpListener, UdpSocket)> {
     let mut tries = 0;
     loop {
@@ -515,29 +541,35 @@
         let links = TcpListener::bind(address).await?;
         match UdpSocket::bind(links.local_addr()?).await {
             Ok(socket) => return Ok((links, socket)),
-            Err(error) if address.port() != 0 || tries == BIND_TRIES => return Err(error.into()),
+            Err(error) if address.port() != 0 || tries == MAX_BIND_ATTEMPTS => {
+                return Err(error.into());
+            }
             Err(_) => {}
         }
     }
 }
 
-/// Serves HTTP on a listener.
-async fn http<F, Fut>(carrier: Rc<Carrier>, doors: Rc<Doors>, listener: TcpListener, answer: F)
-where
+/// Accepts and serves HTTP connections on a listener.
+async fn serve_http<F, Fut>(
+    carrier: Rc<Carrier>,
+    connections: Rc<OpenConnections>,
+    listener: TcpListener,
+    handler: F,
+) where
     F: Fn(Request) -> Fut + Clone + 'static,
     Fut: Future<Output = Response<BoxBody>> + 'static,
 {
-    let closing = doors.clone();
+    let closing = connections.clone();
     let limits = carrier.limits();
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(std::time::Duration::from_secs(75)))
         .client_request_timeout(limits.head_time.to_std())
-        .client_disconnect_timeout(LINGER.to_std())
+        .client_disconnect_timeout(FLUSH_TIMEOUT.to_std())
         .h1_allow_half_closed(false)
-        .graceful_shutdown_signal(move || closed(closing.clone()))
+        .graceful_shutdown_signal(move || close_requested(closing.clone()))
         .h1(fn_service(move |request| {
-            let answering = answer(request);
-            async move { Ok::<_, Infallible>(answering.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         }))
         .tcp();
     let Ok(service) = factory.new_service(()).await else {
@@ -547,8 +579,8 @@
     let open = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // The process has no room for more sockets just now.
-            tokio::time::sleep(TICK.to_std()).await;
+            // Usually the process has run out of file descriptors.
+            tokio::time::sleep(BUSY_TICK.to_std()).await;
             continue;
         };
         if open.get() >= carrier.limits().connections {
@@ -556,22 +588,22 @@
             continue;
         }
         let _ = stream.set_nodelay(true);
-        let (service, open, doors) = (service.clone(), open.clone(), doors.clone());
+        let (service, open, connections) = (service.clone(), open.clone(), connections.clone());
         actix_rt::spawn(async move {
             open.set(open.get() + 1);
-            doors.open.set(doors.open.get() + 1);
+            connections.count.set(connections.count.get() + 1);
             let _ = service.call(stream).await;
             open.set(open.get() - 1);
-            doors.open.set(doors.open.get() - 1);
-            doors.changed.notify_waiters();
+            connections.count.set(connections.count.get() - 1);
+            connections.count_changed.notify_waiters();
         });
     }
 }
 
-/// Waits until connections are to be closed.
-async fn closed(doors: Rc<Doors>) {
-    while !doors.closing.get() {
-        doors.close.notified().await;
+/// Waits until the server closes its connections.
+async fn close_requested(connections: Rc<OpenConnections>) {
+    while !connections.closing.get() {
+        connections.close_requested.notified().await;
     }
 }
 
@@ -579,7 +611,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => Links::accept(&carrier, stream),
-            Err(_) => tokio::time::sleep(TICK.to_std()).await,
+            Err(_) => tokio::time::sleep(BUSY_TICK.to_std()).await,
         }
     }
 }
@@ -587,31 +619,31 @@
 async fn receive_datagrams(carrier: Rc<Carrier>) {
     let mut buffer = vec![0; DATAGRAM_LIMIT * 2];
     loop {
-        // An error here belongs to an earlier datagram that found nobody.
+        // An error here reports that an earlier datagram was undeliverable.
         if let Ok((len, from)) = carrier.socket().recv_from(&mut buffer).await {
             carrier.receive_datagram(from, &buffer[..len]);
         }
     }
 }
 
-async fn tick(carrier: Rc<Carrier>) {
-    let mut pruned = Time::ZERO;
+async fn run_ticks(carrier: Rc<Carrier>) {
+    let mut last_maintenance = Time::ZERO;
     loop {
         if carrier.is_busy() {
             let due = Clock.now().until(carrier.core().due());
-            let wait = due.max(Span::from_ms(1)).min(TICK);
+            let wait = due.max(Span::from_ms(1)).min(BUSY_TICK);
             tokio::time::sleep(wait.to_std()).await;
         } else {
-            let idle = tokio::time::sleep(IDLE_TICK.to_std());
+            let idle_tick = tokio::time::sleep(IDLE_TICK.to_std());
             tokio::select! {
-                () = idle => {}
+                () = idle_tick => {}
                 () = carrier.woken.notified() => {}
             }
         }
         carrier.on(Event::Tick);
         let now = Clock.now();
-        if now.since(pruned) >= PRUNE {
-            pruned = now;
+        if now.since(last_maintenance) >= MAINTENANCE_INTERVAL {
+            last_maintenance = now;
             carrier.core_mut().set_wall_clock(now, Clock.wall());
             carrier.upstream.prune(now);
             carrier.links.prune(&carrier, now);
