--- a/src/connection/upstream.rs
+++ b/src/connection/upstream.rs
@@ -1,10 +1,11 @@
-//! Connections to the upstream beside the node.
+//! Client connections to the upstream next to the node.
 //!
-//! The HTTP codec is that of actix-http. awc, its client, does not fit here: it
-//! reports a body that ends with the connection, before its end mark, as whole,
-//! and it does not read an answer before the request's body is sent. A cut
-//! answer must never become a short success, so this module reads the codec
-//! itself: only the codec's own end mark makes a body whole.
+//! Uses the HTTP/1 codec of actix-http, but not its client, awc: awc reports a
+//! body as complete when the connection closes before the end of the body, and
+//! does not read a response until the request body has been sent. A truncated
+//! response must never be passed on as a shorter successful one, so this module
+//! drives the codec itself and treats a body as complete only when the codec
+//! reports its end, or at an orderly close where the pool allows that framing.
 
 use std::{
     cell::RefCell,
@@ -63,25 +64,25 @@
     inbound::End, //
 };
 
-/// Time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Span = Span::from_secs(1);
 
-/// Answers to other requests that are dropped while one is awaited, and the
-/// longest of them.
-const STRAYS: usize = 4;
-const STRAY_LIMIT: u64 = 1 << 20;
+/// How many responses to other requests are discarded while waiting for one,
+/// and the largest body in bytes of such a response.
+const MAX_STRAY_RESPONSES: usize = 4;
+const MAX_STRAY_BODY: u64 = 1 << 20;
 
-/// The status by which an upstream refuses a request for another one.
+/// The status with which an upstream rejects a request meant for another one.
 const MISDIRECTED: StatusCode = StatusCode::MISDIRECTED_REQUEST;
 
-/// The share of an upstream's own time for idle connections for which they are
-/// used.
-const KEPT_SHARE: f64 = 0.6;
+/// The fraction of the upstream's advertised keep-alive timeout during which an
+/// idle connection is reused. The rest is a margin for requests in flight.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// Bytes read from a connection at once.
-const READ: usize = 32 << 10;
+/// Read buffer space reserved before each read, in bytes.
+const READ_BUFFER: usize = 32 << 10;
 
-struct Idle {
+struct IdleConnection {
     stream: TcpStream,
     until: Time,
 }
@@ -89,23 +90,25 @@
 /// The pool of connections to one upstream.
 pub(crate) struct Pool {
     address: SocketAddr,
-    keep: Span,
+    idle_timeout: Span,
     names: Names,
-    /// Whether an answer may end with its connection. Where it may not, one that
-    /// says no length cannot be told from one that was cut.
-    closes: bool,
-    idle: RefCell<VecDeque<Idle>>,
+    /// Whether a response body may be delimited by the close of its connection.
+    /// If not, a response without a length is rejected, since it cannot be told
+    /// from a truncated one.
+    allow_close_delimited: bool,
+    idle: RefCell<VecDeque<IdleConnection>>,
 }
 
-/// An answer whose head has been read.
+/// A response whose head has been read.
 pub(crate) struct Answer {
-    /// Its head.
+    /// The response head.
     pub(crate) head: Head,
-    /// The upstream said that it has not run the request.
+    /// The upstream reported that it did not process the request.
     pub(crate) rejected: bool,
-    /// How much longer the upstream says that it is cold.
+    /// The remaining warm-up time that the upstream reported.
     pub(crate) warmup: Option<Span>,
-    /// What the upstream tells about itself; nothing where another one answered.
+    /// The backpressure signal from the response headers. `None` for a misdirected
+    /// request, where another upstream responded.
     pub(crate) signal: Option<Signal>,
     body: Option<Body>,
 }
@@ -115,36 +118,41 @@
     framing: Framing,
     input: BytesMut,
     reuse: bool,
-    keep: Span,
+    idle_timeout: Span,
 }
 
-/// How an answer tells its end.
+/// How the end of a response body is determined.
 enum Framing {
-    /// By a length or an end mark.
-    Marked(h1::ClientPayloadCodec),
-    /// By the orderly end of its connection.
-    Closed,
+    /// By a content length or the last chunk.
+    Delimited(h1::ClientPayloadCodec),
+    /// By the orderly close of the connection.
+    UntilClose,
 }
 
 impl Pool {
-    pub(crate) fn new(address: SocketAddr, keep: Span, names: Names, closes: bool) -> Self {
+    pub(crate) fn new(
+        address: SocketAddr,
+        idle_timeout: Span,
+        names: Names,
+        allow_close_delimited: bool,
+    ) -> Self {
         Self {
             address,
-            keep,
+            idle_timeout,
             names,
-            closes,
+            allow_close_delimited,
             idle: RefCell::default(),
         }
     }
 
-    /// The warmest connection that the upstream has not closed.
-    fn warm(&self, now: Time) -> Option<TcpStream> {
+    /// Takes the most recently used connection that the upstream has not closed.
+    fn take_idle(&self, now: Time) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(Idle { stream, until }) = idle.pop_back() {
+        while let Some(IdleConnection { stream, until }) = idle.pop_back() {
             let fresh = now < until;
             let mut probe = [0; 1];
-            // A byte or an end on an idle connection means that it is of no
-            // use; a request sent over it would have an unknown outcome.
+            // An idle connection with unread data or an end of file is unusable:
+            // a request sent on it would have an unknown outcome.
             let quiet = matches!(stream.try_read(&mut probe),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock);
             if fresh && quiet {
@@ -155,7 +163,7 @@
     }
 
     async fn connect(&self) -> Option<TcpStream> {
-        if let Some(stream) = self.warm(Clock.now()) {
+        if let Some(stream) = self.take_idle(Clock.now()) {
             return Some(stream);
         }
         let connecting = TcpStream::connect(self.address);
@@ -165,18 +173,20 @@
         Some(stream)
     }
 
-    fn keep(&self, stream: TcpStream, keep: Span) {
-        let until = Clock.now() + keep;
-        self.idle.borrow_mut().push_back(Idle { stream, until });
+    fn store_idle(&self, stream: TcpStream, idle_timeout: Span) {
+        let until = Clock.now() + idle_timeout;
+        self.idle
+            .borrow_mut()
+            .push_back(IdleConnection { stream, until });
     }
 
-    /// Closes connections that have been idle too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub(crate) fn prune(&self, now: Time) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|idle| now < idle.until);
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of the response.
     ///
     /// # Errors
     ///
@@ -185,13 +195,13 @@
         let (request, size) = request(head).ok_or(End::Refused)?;
         let mut stream = self.connect().await.ok_or(End::Refused)?;
         let codec = RefCell::new(h1::ClientCodec::default());
-        let mut input = BytesMut::with_capacity(READ);
+        let mut input = BytesMut::with_capacity(READ_BUFFER);
         let (mut reader, mut writer) = stream.split();
         let (answer, sent) = {
             let write = pin!(write(&codec, &mut writer, request, size, &body));
-            let wanted = header::request(&head.headers, &self.names);
-            let read = pin!(self.read_own(&codec, &mut reader, &mut input, wanted));
-            both(write, read).await?
+            let expected_id = header::request(&head.headers, &self.names);
+            let read = pin!(self.read_matching_head(&codec, &mut reader, &mut input, expected_id));
+            receive_while_sending(write, read).await?
         };
         let codec = codec.into_inner();
         let rejected = self.is_rejection(&answer);
@@ -199,13 +209,16 @@
             return Err(End::Cut);
         }
         let framed = is_framed(&answer, &head.method);
-        if !framed && !self.closes {
+        if !framed && !self.allow_close_delimited {
             return Err(End::Cut);
         }
         let empty = framed && codec.message_type() == h1::MessageType::None;
         let reuse = sent && framed && codec.keep_alive();
-        let keep = keep_time(answer.headers()).map_or(self.keep, |keep| keep.min(self.keep));
-        let length = length(&answer).filter(|_| framed);
+        let idle_timeout = keep_alive_timeout(answer.headers())
+            .map_or(self.idle_timeout, |idle_timeout| {
+                idle_timeout.min(self.idle_timeout)
+            });
+        let length = content_length(&answer).filter(|_| framed);
         let head = Head {
             status: answer.status.as_u16(),
             headers: header::strip(answer.headers(), &self.names),
@@ -222,50 +235,51 @@
         };
         if empty {
             if reuse && input.is_empty() {
-                self.keep(stream, keep);
+                self.store_idle(stream, idle_timeout);
             }
             return Ok(answer);
         }
         let framing = match framed {
-            true => Framing::Marked(codec.into_payload_codec()),
-            false => Framing::Closed,
+            true => Framing::Delimited(codec.into_payload_codec()),
+            false => Framing::UntilClose,
         };
         answer.body = Some(Body {
             stream,
             framing,
             input,
             reuse,
-            keep,
+            idle_timeout,
         });
         Ok(answer)
     }
 
-    /// Reads the head of the answer to this request.
+    /// Reads the head of the response to this request.
     ///
-    /// Guards against an answer that comes late or twice, at the place of the
-    /// next one: the caller would get the answer to another request. The id
-    /// that the upstream echoes shows it, and it is read and dropped.
-    async fn read_own(
+    /// A late or duplicated response would otherwise be taken for the next one,
+    /// and the caller would receive the response to another request. Such a
+    /// response is recognized by the request id that the upstream echoes; it is
+    /// read and discarded.
+    async fn read_matching_head(
         &self,
         codec: &RefCell<h1::ClientCodec>,
         reader: &mut tokio::net::tcp::ReadHalf<'_>,
         input: &mut BytesMut,
-        wanted: Option<Bytes>,
+        expected_id: Option<Bytes>,
     ) -> Result<ResponseHead, Cut> {
-        let Some((wanted, name)) = wanted.zip(self.names.request) else {
+        let Some((expected_id, name)) = expected_id.zip(self.names.request) else {
             return read_head(codec, reader, input).await;
         };
-        for _ in 0..STRAYS {
+        for _ in 0..MAX_STRAY_RESPONSES {
             let head = read_head(codec, reader, input).await?;
             let echoed = head.headers().get(name).map(HeaderValue::as_bytes);
-            if echoed.is_none_or(|echoed| echoed == wanted) {
+            if echoed.is_none_or(|echoed| echoed == expected_id) {
                 return Ok(head);
             }
-            let length = length(&head)
-                .filter(|length| *length <= STRAY_LIMIT)
+            let length = content_length(&head)
+                .filter(|length| *length <= MAX_STRAY_BODY)
                 .ok_or(Cut)?;
             while (input.len() as u64) < length {
-                fill(reader, input).await?;
+                read_required(reader, input).await?;
             }
             let _ = input.split_to(length as usize);
             *codec.borrow_mut() = h1::ClientCodec::default();
@@ -273,7 +287,7 @@
         Err(Cut)
     }
 
-    /// Whether the upstream says that it has not run the request.
+    /// Whether the upstream reports that it did not process the request.
     fn is_rejection(&self, answer: &ResponseHead) -> bool {
         let Some(rejected) = self.names.rejected else {
             return false;
@@ -281,8 +295,9 @@
         answer.headers().contains_key(rejected) || answer.status == MISDIRECTED
     }
 
-    /// Whether a success is the upstream's own. One without its seal, or in an
-    /// encoding that nobody asked for, was made or changed on the way.
+    /// Whether the response comes unchanged from the upstream. A successful
+    /// response without the seal header, or with a content encoding that was not
+    /// requested, was created or modified by an intermediary.
     fn is_genuine(&self, answer: &ResponseHead) -> bool {
         let Some(seal) = self.names.seal else {
             return true;
@@ -292,40 +307,40 @@
         whole || !answer.status.is_success()
     }
 
-    /// Reads the next chunk of an answer, or nothing at its end mark.
+    /// Reads the next chunk of the body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// When the upstream cut the answer.
+    /// Returns [`Cut`] when the response was truncated.
     pub(crate) async fn next(&self, answer: &mut Answer) -> Result<Option<Bytes>, Cut> {
         let Some(body) = &mut answer.body else {
             return Ok(None);
         };
         match &mut body.framing {
-            Framing::Marked(codec) => loop {
+            Framing::Delimited(codec) => loop {
                 match codec.decode(&mut body.input).map_err(|_| Cut)? {
                     Some(Some(chunk)) => return Ok(Some(chunk)),
                     Some(None) => break,
-                    None => fill(&mut body.stream, &mut body.input).await?,
+                    None => read_required(&mut body.stream, &mut body.input).await?,
                 }
             },
-            Framing::Closed => {
-                if body.input.is_empty() && !refill(&mut body.stream, &mut body.input).await? {
+            Framing::UntilClose => {
+                if body.input.is_empty() && !read_some(&mut body.stream, &mut body.input).await? {
                     answer.body = None;
                     return Ok(None);
                 }
                 return Ok(Some(body.input.split().freeze()));
             }
         }
-        // Dropping an answer before its end closes the connection; only one
-        // whose answer was read to the end may carry another.
+        // Dropping a response before its end closes the connection. Only a
+        // connection whose response was read completely may be reused.
         if let Some(body) = answer.body.take()
-            && let Framing::Marked(codec) = &body.framing
+            && let Framing::Delimited(codec) = &body.framing
             && body.reuse
             && codec.keep_alive()
             && body.input.is_empty()
         {
-            self.keep(body.stream, body.keep);
+            self.store_idle(body.stream, body.idle_timeout);
         }
         Ok(None)
     }
@@ -342,26 +357,27 @@
             .append(name, HeaderValue::from_maybe_shared(value.clone()).ok()?);
     }
     let size = match head.length {
-        Some(0) if !wants_length(&head.method) => BodySize::None,
+        Some(0) if !requires_content_length(&head.method) => BodySize::None,
         Some(length) => BodySize::Sized(length),
         None => BodySize::Stream,
     };
     Some((request, size))
 }
 
-/// Methods whose requests say that they have no body.
-fn wants_length(method: &str) -> bool {
+/// Whether requests with this method send `content-length: 0` when they have no
+/// body.
+fn requires_content_length(method: &str) -> bool {
     matches!(method, "POST" | "PUT" | "PATCH")
 }
 
-/// Waits for the answer's head while the body is still being sent, and tells
-/// whether all of it was.
-async fn both<W, R>(
+/// Waits for the response head while the request body is still being sent.
+/// Also returns whether the request was sent completely.
+async fn receive_while_sending<W, R>(
     mut write: std::pin::Pin<&mut W>,
     mut read: std::pin::Pin<&mut R>,
 ) -> Result<(ResponseHead, bool), End>
 where
-    W: Future<Output = Result<(), Broken>>,
+    W: Future<Output = Result<(), WriteError>>,
     R: Future<Output = Result<ResponseHead, Cut>>,
 {
     let mut writing = true;
@@ -371,16 +387,16 @@
             biased;
             result = &mut write, if writing => match result {
                 Ok(()) => (writing, sent) = (false, true),
-                Err(Broken::Body) => return Err(End::Cut),
-                // It may have answered before it closed its reading side.
-                Err(Broken::Stream) => writing = false,
+                Err(WriteError::Body) => return Err(End::Cut),
+                // The upstream may have responded before it stopped reading.
+                Err(WriteError::Stream) => writing = false,
             },
             head = &mut read => return Ok((head.map_err(|_| End::Cut)?, sent)),
         }
     }
 }
 
-enum Broken {
+enum WriteError {
     Body,
     Stream,
 }
@@ -391,17 +407,17 @@
     request: RequestHead,
     size: BodySize,
     body: &Inlet,
-) -> Result<(), Broken> {
+) -> Result<(), WriteError> {
     let mut output = BytesMut::with_capacity(1024);
     let encode = |message, output: &mut BytesMut| {
         codec
             .borrow_mut()
             .encode(message, output)
-            .map_err(|_| Broken::Body)
+            .map_err(|_| WriteError::Body)
     };
     let head = RequestHeadType::from(request);
     encode(h1::Message::Item((head, size)), &mut output)?;
-    // What is here already goes out with the head, in one packet.
+    // Body data that is already buffered is written together with the head.
     while let Some(chunk) = body.pop() {
         encode(h1::Message::Chunk(Some(chunk)), &mut output)?;
     }
@@ -410,11 +426,11 @@
         writer
             .write_all(&output)
             .await
-            .map_err(|_| Broken::Stream)?;
+            .map_err(|_| WriteError::Stream)?;
         output.clear();
         match body.next().await {
             Some(Ok(chunk)) => encode(h1::Message::Chunk(Some(chunk)), &mut output)?,
-            Some(Err(Cut)) => return Err(Broken::Body),
+            Some(Err(Cut)) => return Err(WriteError::Body),
             None => break,
         }
         while let Some(chunk) = body.pop() {
@@ -424,7 +440,10 @@
     if !empty {
         encode(h1::Message::Chunk(None), &mut output)?;
     }
-    writer.write_all(&output).await.map_err(|_| Broken::Stream)
+    writer
+        .write_all(&output)
+        .await
+        .map_err(|_| WriteError::Stream)
 }
 
 async fn read_head(
@@ -438,40 +457,44 @@
             Some(head) if head.status.as_u16() == 101 => return Err(Cut),
             Some(head) if head.status.is_informational() => {}
             Some(head) => return Ok(head),
-            None => fill(reader, input).await?,
+            None => read_required(reader, input).await?,
         }
     }
 }
 
-async fn fill<R: AsyncReadExt + Unpin>(reader: &mut R, input: &mut BytesMut) -> Result<(), Cut> {
-    match refill(reader, input).await? {
+async fn read_required<R: AsyncReadExt + Unpin>(
+    reader: &mut R,
+    input: &mut BytesMut,
+) -> Result<(), Cut> {
+    match read_some(reader, input).await? {
         true => Ok(()),
         false => Err(Cut),
     }
 }
 
-/// Reads on. Returns whether there was anything before the orderly end; a
-/// connection that was reset is cut.
-async fn refill<R: AsyncReadExt + Unpin>(
+/// Reads more input. Returns `false` at an orderly end of file; a reset
+/// connection is an error.
+async fn read_some<R: AsyncReadExt + Unpin>(
     reader: &mut R,
     input: &mut BytesMut,
 ) -> Result<bool, Cut> {
-    input.reserve(READ);
+    input.reserve(READ_BUFFER);
     let read = reader.read_buf(input).await.map_err(|_| Cut)?;
     Ok(read > 0)
 }
 
-/// How long the upstream keeps an idle connection, less a margin in which a
-/// request that is on its way would meet the close.
-fn keep_time(headers: &actix_http::header::HeaderMap) -> Option<Span> {
+/// How long an idle connection may be reused: the upstream's keep-alive timeout
+/// less a margin, so that a request in flight does not meet the close.
+fn keep_alive_timeout(headers: &actix_http::header::HeaderMap) -> Option<Span> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
     let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
     let seconds: u64 = seconds.trim().parse().ok()?;
-    Some(Span::from_secs(seconds).scale(KEPT_SHARE))
+    Some(Span::from_secs(seconds).scale(KEEP_ALIVE_FRACTION))
 }
 
-/// Whether the answer says where it ends; else its connection's end does.
+/// Whether the response head determines where the body ends. Otherwise the close
+/// of the connection does.
 fn is_framed(head: &ResponseHead, method: &str) -> bool {
     let headers = head.headers();
     method == "HEAD"
@@ -480,7 +503,7 @@
         || headers.contains_key("transfer-encoding")
 }
 
-fn length(head: &ResponseHead) -> Option<u64> {
+fn content_length(head: &ResponseHead) -> Option<u64> {
     head.headers()
         .get("content-length")?
         .to_str()
