--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -577,7 +577,7 @@
 /// Writes a head. The codec cannot do it: its encoder goes by the request that
 /// was read last, and another may have been read since this one.
 fn write_head(output: &mut BytesMut, head: &Head, chunked: bool, close: bool) {
-    begin_head(output, head.status);
+    write_status_line(output, head.status);
     for (name, value) in &head.headers {
         output.extend_from_slice(name.as_bytes());
         output.extend_from_slice(b": ");
@@ -599,7 +599,7 @@
 }
 
 /// Writes the line that begins an answer.
-pub(crate) fn begin_head(output: &mut BytesMut, status: u16) {
+pub(crate) fn write_status_line(output: &mut BytesMut, status: u16) {
     let reason = StatusCode::from_u16(status).ok();
     let reason = reason
         .and_then(|s| s.canonical_reason())
--- a/src/connection/refusal.rs
+++ b/src/connection/refusal.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use serde::Serialize;
 
-use super::door::begin_head;
+use super::door::write_status_line;
 use crate::{
     clock::Span,
     code::{
@@ -73,7 +73,7 @@
     close: bool,
 ) {
     let body = serde_json::to_string(&Body::of(code, wait)).unwrap_or_default();
-    begin_head(output, status);
+    write_status_line(output, status);
     let mut line = |name: &str, value: &str| {
         output.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     };
