--- a/src/connection/caller.rs
+++ b/src/connection/caller.rs
@@ -142,9 +142,9 @@
     let host = host(&request)?;
     let path = request.path().to_owned();
     let method = request.method().to_string();
-    let declared = declared(&request)?;
+    let declared_length = declared_length(&request)?;
     let limit = carrier.body_limit(&host, &method, &path);
-    if declared.is_some_and(|length| length > limit) {
+    if declared_length.is_some_and(|length| length > limit) {
         return Err(Code::BodyTooLarge);
     }
     let key = claim_key(&request)?;
@@ -153,7 +153,7 @@
         target: target.map_or("/", |target| target.as_str()).to_owned(),
         method,
         headers: passing,
-        length: declared,
+        length: declared_length,
         ..Head::default()
     };
     let payload = request.take_payload();
@@ -161,7 +161,7 @@
         Some(_) => limit,
         None => HELD_LIMIT.min(limit),
     };
-    let source = match declared {
+    let source = match declared_length {
         Some(length) if length > hold => Source::Stream {
             prefix: Bytes::new(),
             rest: Some(payload),
@@ -245,7 +245,7 @@
 
 /// The body's length, where the request tells it. The library has refused
 /// lengths that contradict each other.
-pub(crate) fn declared(request: &Request) -> Result<Option<u64>, Code> {
+pub(crate) fn declared_length(request: &Request) -> Result<Option<u64>, Code> {
     if request.headers().contains_key("transfer-encoding") {
         return Ok(None);
     }
--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -1,10 +1,11 @@
-//! Connections of callers, read and written by this node itself.
+//! HTTP/1.1 server side of caller connections.
 //!
-//! The heads are read by actix-http's codec. Its dispatcher does not fit: it
-//! runs pipelined requests one after the other, so that each waits for the work
-//! of those before it, and while one runs it does not see that the caller has
-//! gone. Here every request begins as soon as it is read, the answers go out in
-//! order, and reading goes on meanwhile, so that a close is seen at once.
+//! Requests are decoded with actix-http's codec, but not served by its
+//! dispatcher. The dispatcher handles pipelined requests one after the other, so
+//! each waits for those before it, and it does not notice a disconnect while a
+//! request is being handled. Here, every request is dispatched as soon as it is
+//! read, responses are written in request order, and reading continues
+//! meanwhile, so a disconnect is noticed at once.
 
 use std::{
     cell::{
@@ -82,59 +83,61 @@
     },
 };
 
-/// Requests of one connection that run side by side; reading stops there.
-const PIPELINE: usize = 16;
-/// Bytes read at once, and kept free on each connection: of a body, and else. Most
-/// heads are shorter, and in a crowd the room of a thousand idle connections
-/// would be most of a node's memory.
-const READ_BODY: usize = 16 << 10;
-const READ: usize = 2 << 10;
-/// Bytes of an answer that are written at once.
-const WRITE: usize = 64 << 10;
-/// Time for a caller to take the last answer of a connection that closes.
-/// Closing earlier would reset the connection when more requests are in it,
-/// and the answer could be lost with them.
-const LINGER: Duration = Duration::from_secs(1);
+/// Maximum number of queued requests per connection. Reading pauses when it is
+/// reached.
+const MAX_PIPELINED_REQUESTS: usize = 16;
+/// Read buffer space in bytes, reserved on each connection while a body is being
+/// received and otherwise. Most heads fit the smaller size, and with thousands of
+/// idle connections larger buffers would take most of a node's memory.
+const BODY_READ_BUFFER: usize = 16 << 10;
+const HEAD_READ_BUFFER: usize = 2 << 10;
+/// Bytes of a response that are collected before a write.
+const WRITE_BUFFER: usize = 64 << 10;
+/// How long a closing connection is kept open for the caller to receive the last
+/// response. Closing it with unread requests pending would reset the connection,
+/// and the response could be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request whose answer has not been written, in the order of arrival.
+/// A request whose response has not been written yet, queued in order of arrival.
 struct Exchange {
-    reply: Wanted,
+    reply: ReplySource,
     guard: Option<Guard>,
     is_head: bool,
     close: bool,
 }
 
-enum Wanted {
-    /// The decisions have it.
-    Asked(oneshot::Receiver<Reply>),
-    /// It was refused here.
+enum ReplySource {
+    /// The request was dispatched to the node, which sends the reply here.
+    Dispatched(oneshot::Receiver<Reply>),
+    /// The request was refused by this module.
     Refused(Code),
-    /// The caller waits for leave to send its body.
+    /// The caller waits for `100 Continue` before it sends the body.
     Continue,
 }
 
-/// What reading and writing one connection share.
-struct Shared {
+/// State shared by the reading and the writing half of one connection.
+struct ConnectionState {
     carrier: Rc<Carrier>,
     queue: RefCell<VecDeque<Exchange>>,
-    /// Told when the queue grows.
-    grown: Notify,
-    /// Told when the queue shrinks.
-    shrunk: Notify,
-    /// An answer is being written.
+    /// Notified when the queue grows.
+    queue_grown: Notify,
+    /// Notified when the queue shrinks and when a response has been written.
+    queue_shrunk: Notify,
+    /// Whether a response is being written.
     writing: Cell<bool>,
-    /// Nothing more is read: the connection ends with the queue.
+    /// Whether reading has ended. The connection closes once the queue is empty.
     finishing: Cell<bool>,
-    /// When the last answer was written.
-    settled: Cell<Time>,
-    /// The connection's number.
-    number: id::Connection,
+    /// When the last response was written, initially when the connection was
+    /// accepted.
+    idle_since: Cell<Time>,
+    /// Identifies the connection.
+    connection_id: id::Connection,
 }
 
-impl Shared {
+impl ConnectionState {
     fn push(&self, exchange: Exchange) {
         self.queue.borrow_mut().push_back(exchange);
-        self.grown.notify_one();
+        self.queue_grown.notify_one();
     }
 
     fn is_idle(&self) -> bool {
@@ -142,34 +145,34 @@
     }
 
     fn is_full(&self) -> bool {
-        self.queue.borrow().len() >= PIPELINE
+        self.queue.borrow().len() >= MAX_PIPELINED_REQUESTS
     }
 }
 
-/// Why reading a connection ended.
-enum Ended {
-    /// The caller is gone, or the connection is broken.
-    Gone,
-    /// Nothing more is read; what was read is still answered.
-    Enough,
+/// Why reading from a connection ended.
+enum ReadEnd {
+    /// The caller disconnected, or the connection failed.
+    Disconnected,
+    /// No more requests are read. Those already read are still answered.
+    Finished,
 }
 
-/// Serves one connection until its end. `closing` resolves when idle
+/// Serves one connection until it closes. `closing` resolves when idle
 /// connections are to be closed.
 pub(crate) async fn serve(
     carrier: Rc<Carrier>,
     mut stream: TcpStream,
     closing: impl Future<Output = ()>,
 ) {
-    let shared = Shared {
-        number: id::Connection(carrier.next_number()),
+    let shared = ConnectionState {
+        connection_id: id::Connection(carrier.next_number()),
         carrier,
         queue: RefCell::default(),
-        grown: Notify::new(),
-        shrunk: Notify::new(),
+        queue_grown: Notify::new(),
+        queue_shrunk: Notify::new(),
         writing: Cell::new(false),
         finishing: Cell::new(false),
-        settled: Cell::new(Clock.now()),
+        idle_since: Cell::new(Clock.now()),
     };
     let (mut reader, mut writer) = stream.split();
     let graceful = {
@@ -177,151 +180,161 @@
         let mut write = std::pin::pin!(write(&shared, &mut writer));
         tokio::select! {
             ended = read => match ended {
-                Ended::Gone => false,
-                Ended::Enough => {
+                ReadEnd::Disconnected => false,
+                ReadEnd::Finished => {
                     shared.finishing.set(true);
-                    shared.grown.notify_one();
+                    shared.queue_grown.notify_one();
                     write.as_mut().await.is_ok()
                 }
             },
             wrote = &mut write => wrote.is_ok(),
         }
     };
-    // Whatever still runs is cancelled by dropping its guard.
+    // Dropping the guards cancels the requests that are still running.
     shared.queue.borrow_mut().clear();
     if graceful {
         linger(stream).await;
     }
 }
 
-/// Closes the writing side and reads what still comes, for a moment.
+/// Shuts down the writing side and discards input until the caller closes the
+/// connection or the timeout expires.
 async fn linger(mut stream: TcpStream) {
     let _ = stream.shutdown().await;
     let mut rest = [0; 4096];
     let drain = async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} };
-    let _ = tokio::time::timeout(LINGER, drain).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
 
-/// Hands a body on in parts. It waits when they are not taken, and goes on
-/// without waiting when nobody wants them any more.
-type Feed = mpsc::Sender<Result<Bytes, PayloadError>>;
+/// Sends the chunks of a streamed body. Sending waits while the channel is full
+/// and fails at once when the receiver has been dropped.
+type BodySender = mpsc::Sender<Result<Bytes, PayloadError>>;
 
-/// Parts of a body that wait to be taken.
-const PARTS: usize = 4;
+/// Capacity of a streamed body's channel, in chunks.
+const BODY_CHANNEL_CAPACITY: usize = 4;
 
-/// A request whose body is still coming.
+/// A request whose body is still being received.
 struct Incoming {
     request: Request,
-    /// What was read, until it is too much to be held.
-    held: BytesMut,
-    feed: Option<Feed>,
-    hold: u64,
+    /// The body so far, until it exceeds `buffer_limit` and is streamed.
+    buffered: BytesMut,
+    body_sender: Option<BodySender>,
+    buffer_limit: u64,
     limit: u64,
     length: u64,
 }
 
 async fn read(
-    shared: &Shared,
+    shared: &ConnectionState,
     reader: &mut ReadHalf<'_>,
     closing: impl Future<Output = ()>,
-) -> Ended {
+) -> ReadEnd {
     let mut closing = std::pin::pin!(closing);
     let mut closed = false;
     let mut codec = h1::Codec::default();
-    let mut input = BytesMut::with_capacity(READ);
+    let mut input = BytesMut::with_capacity(HEAD_READ_BUFFER);
     let mut incoming: Option<Incoming> = None;
-    let mut begun: Option<Time> = None;
+    let mut head_started: Option<Time> = None;
     loop {
         loop {
             if shared.is_full() && incoming.is_none() {
-                shared.shrunk.notified().await;
+                shared.queue_shrunk.notified().await;
                 continue;
             }
             let message = match codec.decode(&mut input) {
                 Ok(Some(message)) => message,
                 Ok(None) => break,
                 Err(_) => {
-                    fail(shared, incoming.take(), Code::Malformed);
-                    return Ended::Enough;
+                    fail_request(shared, incoming.take(), Code::Malformed);
+                    return ReadEnd::Finished;
                 }
             };
-            begun = None;
-            if let Some(code) = take(shared, &mut incoming, message).await {
-                fail(shared, incoming.take(), code);
-                return Ended::Enough;
+            head_started = None;
+            if let Some(code) = process_message(shared, &mut incoming, message).await {
+                fail_request(shared, incoming.take(), code);
+                return ReadEnd::Finished;
             }
         }
         if !input.is_empty() && incoming.is_none() {
-            begun.get_or_insert_with(|| Clock.now());
+            head_started.get_or_insert_with(|| Clock.now());
         }
-        if shared.is_idle() && begun.is_none() && incoming.is_none() && closed {
-            return Ended::Enough;
+        if shared.is_idle() && head_started.is_none() && incoming.is_none() && closed {
+            return ReadEnd::Finished;
         }
-        let until = deadline(shared, begun, incoming.is_some());
+        let until = deadline(shared, head_started, incoming.is_some());
         let wait = until.map(|until| Clock.now().until(until).to_std());
-        input.reserve(if incoming.is_some() { READ_BODY } else { READ });
+        input.reserve(if incoming.is_some() {
+            BODY_READ_BUFFER
+        } else {
+            HEAD_READ_BUFFER
+        });
         tokio::select! {
             count = reader.read_buf(&mut input) => match count {
                 Ok(1..) => {}
-                _ => return Ended::Gone,
+                _ => return ReadEnd::Disconnected,
             },
-            () = shared.shrunk.notified() => {}
+            () = shared.queue_shrunk.notified() => {}
             () = &mut closing, if !closed => closed = true,
             () = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => {
-                let over = until.is_some_and(|until| Clock.now() >= until);
-                if over && begun.is_none() && incoming.is_none() {
-                    return Ended::Enough;
+                let expired = until.is_some_and(|until| Clock.now() >= until);
+                if expired && head_started.is_none() && incoming.is_none() {
+                    return ReadEnd::Finished;
                 }
-                if over {
-                    fail(shared, incoming.take(), Code::CallerSlow);
-                    return Ended::Enough;
+                if expired {
+                    fail_request(shared, incoming.take(), Code::CallerSlow);
+                    return ReadEnd::Finished;
                 }
             }
         }
     }
 }
 
-/// When the caller has taken too long.
-fn deadline(shared: &Shared, begun: Option<Time>, body: bool) -> Option<Time> {
+/// When the wait for the caller times out: for the next part of a body, for the
+/// rest of a head, or on an idle connection.
+fn deadline(shared: &ConnectionState, head_started: Option<Time>, body: bool) -> Option<Time> {
     let limits = shared.carrier.caller_limits();
     if body {
         return Some(Clock.now() + limits.body);
     }
-    if let Some(begun) = begun {
-        return Some(begun + limits.head);
+    if let Some(head_started) = head_started {
+        return Some(head_started + limits.head);
     }
-    shared.is_idle().then(|| shared.settled.get() + limits.idle)
+    shared
+        .is_idle()
+        .then(|| shared.idle_since.get() + limits.idle)
 }
 
-/// The request that is being read fails, and with it the connection.
-fn fail(shared: &Shared, incoming: Option<Incoming>, code: Code) {
-    match incoming.and_then(|incoming| incoming.feed) {
-        // It has begun: whoever takes its body on sees that it was cut.
-        Some(feed) => {
-            let _ = feed.try_send(Err(PayloadError::Incomplete(None)));
+/// Fails the request that is being read. The connection closes after it.
+fn fail_request(shared: &ConnectionState, incoming: Option<Incoming>, code: Code) {
+    match incoming.and_then(|incoming| incoming.body_sender) {
+        // The request was already dispatched: the receiver of its body sees that
+        // it is incomplete.
+        Some(body_sender) => {
+            let _ = body_sender.try_send(Err(PayloadError::Incomplete(None)));
         }
         None => refuse(shared, code),
     }
 }
 
-fn refuse(shared: &Shared, code: Code) {
+fn refuse(shared: &ConnectionState, code: Code) {
     shared.carrier.count(crate::metric::Counter::Refused(code));
     shared.push(Exchange {
-        reply: Wanted::Refused(code),
+        reply: ReplySource::Refused(code),
         guard: None,
         is_head: false,
         close: true,
     });
 }
 
-/// Takes one part of a request. Returns why the connection cannot go on.
-async fn take(
-    shared: &Shared,
+/// Processes one decoded part of a request. Returns a code if the connection
+/// cannot continue.
+async fn process_message(
+    shared: &ConnectionState,
     incoming: &mut Option<Incoming>,
     message: h1::Message<Request>,
 ) -> Option<Code> {
     match message {
-        h1::Message::Item(request) => match open(shared, request) {
+        h1::Message::Item(request) => match receive_head(shared, request) {
             Ok(Some(opened)) => *incoming = Some(opened),
             Ok(None) => {}
             Err(code) => return Some(code),
@@ -329,38 +342,38 @@
         h1::Message::Chunk(Some(bytes)) => {
             let body = incoming.as_mut()?;
             body.length += bytes.len() as u64;
-            if body.length > body.limit && body.feed.is_none() {
+            if body.length > body.limit && body.body_sender.is_none() {
                 return Some(Code::BodyTooLarge);
             }
-            match &mut body.feed {
-                Some(feed) => {
-                    let _ = feed.send(Ok(bytes)).await;
+            match &mut body.body_sender {
+                Some(body_sender) => {
+                    let _ = body_sender.send(Ok(bytes)).await;
                 }
-                None => body.held.extend_from_slice(&bytes),
+                None => body.buffered.extend_from_slice(&bytes),
             }
-            if body.feed.is_none() && body.length > body.hold {
-                let (feed, parts) = mpsc::channel(PARTS);
-                body.feed = Some(feed);
-                let parts = stream::unfold(parts, async |mut parts| {
-                    parts.recv().await.map(|part| (part, parts))
+            if body.body_sender.is_none() && body.length > body.buffer_limit {
+                let (body_sender, chunks) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+                body.body_sender = Some(body_sender);
+                let chunks = stream::unfold(chunks, async |mut chunks| {
+                    chunks.recv().await.map(|chunk| (chunk, chunks))
                 });
-                let payload: BoxedPayloadStream = Box::pin(parts);
+                let payload: BoxedPayloadStream = Box::pin(chunks);
                 let source = Source::Stream {
-                    prefix: body.held.split().freeze(),
+                    prefix: body.buffered.split().freeze(),
                     rest: Some(payload.into()),
                     limit: body.limit,
                 };
-                return begin(shared, &body.request, source).err();
+                return dispatch(shared, &body.request, source).err();
             }
         }
         h1::Message::Chunk(None) => {
             let body = incoming.take()?;
-            match body.feed {
-                // Closing the channel is the end mark.
-                Some(feed) => drop(feed),
+            match body.body_sender {
+                // Closing the channel marks the end of the body.
+                Some(body_sender) => drop(body_sender),
                 None => {
-                    let source = Source::Buffered(body.held.freeze());
-                    return begin(shared, &body.request, source).err();
+                    let source = Source::Buffered(body.buffered.freeze());
+                    return dispatch(shared, &body.request, source).err();
                 }
             }
         }
@@ -368,8 +381,9 @@
     None
 }
 
-/// Looks at a head. A request without a body begins at once.
-fn open(shared: &Shared, request: Request) -> Result<Option<Incoming>, Code> {
+/// Validates a request head. A request without a body is dispatched at once; for
+/// any other, returns the state for receiving its body.
+fn receive_head(shared: &ConnectionState, request: Request) -> Result<Option<Incoming>, Code> {
     let carrier = &shared.carrier;
     let headers = request.headers();
     if request.upgrade() || headers.contains_key("upgrade") || request.method() == "CONNECT" {
@@ -381,59 +395,59 @@
     if header::size(headers) > carrier.caller_limits().headers.as_u64() {
         return Err(Code::HeadersTooLarge);
     }
-    let declared = caller::declared(&request)?;
-    if declared == Some(0) {
-        begin(shared, &request, Source::Buffered(Bytes::new()))?;
+    let declared_length = caller::declared_length(&request)?;
+    if declared_length == Some(0) {
+        dispatch(shared, &request, Source::Buffered(Bytes::new()))?;
         return Ok(None);
     }
     let host = caller::host(&request)?;
-    // Without a route there is no limit to go by: a node that knows no
-    // configuration yet must not call a body too large. It is refused for its
-    // route as soon as what is held of it is here.
+    // Without a route there is no body limit: a node without a configuration must
+    // not report a body as too large. Such a request is refused for its missing
+    // route once it is dispatched, after the buffered part of its body.
     let limit = carrier.route_limit(&host, request.method().as_str(), request.path());
     let limit = limit.unwrap_or(u64::MAX);
-    if declared.is_some_and(|length| length > limit) {
+    if declared_length.is_some_and(|length| length > limit) {
         return Err(Code::BodyTooLarge);
     }
     if headers.contains_key("expect") {
         shared.push(Exchange {
-            reply: Wanted::Continue,
+            reply: ReplySource::Continue,
             guard: None,
             is_head: false,
             close: false,
         });
     }
-    let hold = carrier.interface.held_body.as_u64().min(limit);
+    let buffer_limit = carrier.interface.held_body.as_u64().min(limit);
     Ok(Some(Incoming {
-        held: BytesMut::with_capacity(declared.unwrap_or(0).min(hold) as usize),
-        feed: None,
-        hold,
+        buffered: BytesMut::with_capacity(declared_length.unwrap_or(0).min(buffer_limit) as usize),
+        body_sender: None,
+        buffer_limit,
         limit,
         length: 0,
         request,
     }))
 }
 
-/// Hands a request to the decisions.
-fn begin(shared: &Shared, request: &Request, source: Source) -> Result<(), Code> {
+/// Registers a request and passes it to the node.
+fn dispatch(shared: &ConnectionState, request: &Request, source: Source) -> Result<(), Code> {
     let carrier = &shared.carrier;
     let names = &carrier.interface.names;
     let host = caller::host(request)?;
-    let mut passing = header::strip(request.headers(), names);
-    let key = header::take_key(&mut passing, request.headers(), names);
+    let mut forwarded_headers = header::strip(request.headers(), names);
+    let key = header::take_key(&mut forwarded_headers, request.headers(), names);
     let target = request.uri().path_and_query();
     let mut head = Head {
         target: target.map_or("/", |target| target.as_str()).to_owned(),
         method: request.method().to_string(),
-        headers: passing,
-        length: caller::declared(request)?,
+        headers: forwarded_headers,
+        length: caller::declared_length(request)?,
         ..Head::default()
     };
-    let held = match &source {
+    let buffered_length = match &source {
         Source::Buffered(bytes) => Some(bytes.len() as u64),
         Source::Stream { .. } => None,
     };
-    head.length = held.or(head.length);
+    head.length = buffered_length.or(head.length);
     let call = carrier.next_call();
     let event = Call {
         call,
@@ -442,16 +456,16 @@
         method: head.method.clone(),
         path: request.path().to_owned(),
         claim: None,
-        replayable: held.is_some(),
+        replayable: buffered_length.is_some(),
         left: header::left(request.headers(), names),
-        connection: shared.number,
+        connection: shared.connection_id,
     };
     let is_head = head.method == "HEAD";
-    let (reply, answered) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     let pending = Pending::new(Clock.now(), reply, head, source, names);
     let guard = carrier.begin(call, pending);
     shared.push(Exchange {
-        reply: Wanted::Asked(answered),
+        reply: ReplySource::Dispatched(reply_receiver),
         guard: Some(guard),
         is_head,
         close: request.head().connection_type() == ConnectionType::Close,
@@ -460,45 +474,45 @@
     Ok(())
 }
 
-/// Writes the answers in order. Ends when the connection has to be closed:
-/// with `Ok` after a whole answer, else within one.
-async fn write(shared: &Shared, writer: &mut WriteHalf<'_>) -> Result<(), Cut> {
+/// Writes the responses in request order until the connection has to be closed.
+/// Returns `Ok` after a complete response and an error within one.
+async fn write(shared: &ConnectionState, writer: &mut WriteHalf<'_>) -> Result<(), Cut> {
     loop {
         let next = shared.queue.borrow_mut().pop_front();
         let Some(exchange) = next else {
             if shared.finishing.get() {
                 return Ok(());
             }
-            shared.grown.notified().await;
+            shared.queue_grown.notified().await;
             continue;
         };
         shared.writing.set(true);
-        shared.shrunk.notify_one();
-        let close = answer(shared, writer, exchange).await?;
+        shared.queue_shrunk.notify_one();
+        let close = write_reply(shared, writer, exchange).await?;
         shared.writing.set(false);
-        shared.settled.set(Clock.now());
-        shared.shrunk.notify_one();
+        shared.idle_since.set(Clock.now());
+        shared.queue_shrunk.notify_one();
         if close {
             return Ok(());
         }
     }
 }
 
-/// Writes one answer, and tells whether the connection closes after it.
-async fn answer(
-    shared: &Shared,
+/// Writes one response and returns whether the connection closes after it.
+async fn write_reply(
+    shared: &ConnectionState,
     writer: &mut WriteHalf<'_>,
     exchange: Exchange,
 ) -> Result<bool, Cut> {
     let carrier = &shared.carrier;
     let reply = match exchange.reply {
-        Wanted::Continue => {
-            put(writer, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+        ReplySource::Continue => {
+            write_bytes(writer, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
             return Ok(false);
         }
-        Wanted::Refused(code) => Reply::Refuse(code, code.retry_after()),
-        // The decisions always answer; if they are gone, so is the node.
-        Wanted::Asked(answered) => answered
+        ReplySource::Refused(code) => Reply::Refuse(code, code.retry_after()),
+        // The node always replies; a dropped sender means that it is gone.
+        ReplySource::Dispatched(reply_receiver) => reply_receiver
             .await
             .unwrap_or(Reply::Refuse(Code::LinkLost, None)),
     };
@@ -508,10 +522,10 @@
             let mut output = BytesMut::with_capacity(512);
             let status = (carrier.interface.status)(code);
             refusal::write(&mut output, code, status, wait, close);
-            put(writer, &output).await?;
+            write_bytes(writer, &output).await?;
         }
         Reply::Answer(head, inlet) => {
-            let cut = deliver(writer, &head, &inlet, exchange.is_head, close).await;
+            let cut = write_response(writer, &head, &inlet, exchange.is_head, close).await;
             if let (Err(Cut), Some(guard)) = (&cut, &exchange.guard) {
                 guard.count_cut_answer();
             }
@@ -521,13 +535,13 @@
     Ok(close)
 }
 
-async fn put(writer: &mut WriteHalf<'_>, bytes: &[u8]) -> Result<(), Cut> {
+async fn write_bytes(writer: &mut WriteHalf<'_>, bytes: &[u8]) -> Result<(), Cut> {
     writer.write_all(bytes).await.map_err(|_| Cut)
 }
 
-/// Writes an upstream's answer. One that is cut leaves its end mark out, or its
-/// length short, so that it does not look whole.
-async fn deliver(
+/// Writes an upstream's response. A truncated one ends without its last chunk or
+/// short of its content length, so the caller cannot take it for complete.
+async fn write_response(
     writer: &mut WriteHalf<'_>,
     head: &Head,
     inlet: &Inlet,
@@ -538,27 +552,27 @@
     let chunked = head.length.is_none() && !bodiless;
     let mut output = BytesMut::with_capacity(1024);
     write_head(&mut output, head, chunked, close);
-    // An answer without a body has nothing to wait for.
+    // A response without a body does not wait for the inlet.
     let body = (!bodiless).then_some(inlet);
     while let Some(inlet) = body
         && let Some(chunk) = inlet.next().await
     {
         push_chunk(&mut output, &chunk?, chunked);
-        while output.len() < WRITE
+        while output.len() < WRITE_BUFFER
             && let Some(chunk) = inlet.pop()
         {
             push_chunk(&mut output, &chunk, chunked);
         }
-        // What is whole already goes out in one piece with its end mark.
-        if !inlet.is_whole() || output.len() >= WRITE {
-            put(writer, &output).await?;
+        // A body that is already complete is written together with its end.
+        if !inlet.is_whole() || output.len() >= WRITE_BUFFER {
+            write_bytes(writer, &output).await?;
             output.clear();
         }
     }
     if chunked {
         output.extend_from_slice(b"0\r\n\r\n");
     }
-    put(writer, &output).await
+    write_bytes(writer, &output).await
 }
 
 fn push_chunk(output: &mut BytesMut, chunk: &[u8], chunked: bool) {
@@ -574,8 +588,8 @@
     }
 }
 
-/// Writes a head. The codec cannot do it: its encoder goes by the request that
-/// was read last, and another may have been read since this one.
+/// Writes a response head. The codec's encoder is not used because it depends on
+/// the last request read, which may be a later one than this response's.
 fn write_head(output: &mut BytesMut, head: &Head, chunked: bool, close: bool) {
     write_status_line(output, head.status);
     for (name, value) in &head.headers {
@@ -598,7 +612,7 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// Writes the line that begins an answer.
+/// Writes the status line of a response.
 pub(crate) fn write_status_line(output: &mut BytesMut, status: u16) {
     let reason = StatusCode::from_u16(status).ok();
     let reason = reason
@@ -607,15 +621,15 @@
     output.extend_from_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
 }
 
-/// What callers may do on a connection.
+/// Limits on caller connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers.
     pub(crate) headers: crate::unit::Size,
-    /// Time for a head to arrive.
+    /// Timeout for receiving a complete head.
     pub(crate) head: Span,
-    /// Time for the next part of a body.
+    /// Timeout for the next part of a body.
     pub(crate) body: Span,
-    /// Time that a connection may be idle.
+    /// How long a connection may be idle.
     pub(crate) idle: Span,
 }
