--- a/src/process/log.rs
+++ b/src/process/log.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines.
+//! Structured logging as JSON lines on standard output.
 //!
-//! Lines go to standard output. A line has the time, the level, the place, the message and the fields that
-//! its call names. No call names a key, a token or a body.
+//! Each line holds the time, the level, the target, the message and the key-value
+//! pairs of the log call. Log calls must not pass keys, tokens or bodies.
 
 use std::{
     io::Write,
@@ -30,7 +30,7 @@
     Span, //
 };
 
-/// Fields of one line, as JSON.
+/// Collects the key-value pairs of a record as JSON.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -51,20 +51,20 @@
     }
 }
 
-/// How the targets of this program's own records begin.
-const OWN: &str = "bluebellswitch";
+/// Target prefix of the records that this program itself logs.
+const OWN_TARGET_PREFIX: &str = "bluebellswitch";
 
 /// Writes a record as one JSON line.
 ///
-/// Libraries are heard from `info` on only: below that some print the bytes
-/// that they send, and with them bodies and keys. Whatever `RUST_LOG` asks for,
-/// that must not come into a log.
+/// Records of libraries below `info` are discarded whatever `RUST_LOG` says:
+/// some libraries log the bytes that they send at these levels, which would leak
+/// bodies and keys into the log.
 ///
 /// # Errors
 ///
-/// When the output fails.
+/// Returns an error if writing to `out` fails.
 pub fn write(out: &mut dyn Write, record: &log::Record<'_>) -> std::io::Result<()> {
-    if record.level() > log::Level::Info && !record.target().starts_with(OWN) {
+    if record.level() > log::Level::Info && !record.target().starts_with(OWN_TARGET_PREFIX) {
         return Ok(());
     }
     let mut fields = Fields(Map::new());
@@ -77,49 +77,50 @@
     writeln!(out, "{}", Json::Object(line))
 }
 
-/// Lines that wait to be written. A reader that falls further behind costs
-/// lines, which are counted, and nothing else.
-const WAITING: usize = 4096;
-/// Lines are written together, this often: each write wakes the process.
-const PAUSE: Span = Span::from_ms(50);
-/// Bytes that are written at once.
-const BATCH: usize = 64 << 10;
+/// Capacity of the queue of lines to be written. If the reader of standard output
+/// falls further behind, lines are dropped and counted; logging never blocks.
+const QUEUE_CAPACITY: usize = 4096;
+/// Interval between batched writes. Writing each line by itself would wake the
+/// process for every line.
+const WRITE_INTERVAL: Span = Span::from_ms(50);
+/// Batch size in bytes above which no further line is added to a write.
+const MAX_BATCH_BYTES: usize = 64 << 10;
 
-/// Lines that were dropped as nobody took them.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped because the queue was full or its writer had stopped.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were dropped since the process began.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Lines that were taken and not written yet.
-static OPEN: AtomicU64 = AtomicU64::new(0);
+/// Number of lines that are queued or being written.
+static UNWRITTEN: AtomicU64 = AtomicU64::new(0);
 
-/// The longest wait for the last lines.
-const LAST: Span = Span::from_ms(300);
+/// Maximum time that [`flush`] waits.
+const FLUSH_TIMEOUT: Span = Span::from_ms(300);
 
-/// Waits, not for long, until everything that was logged has been written: the
-/// process is about to end.
+/// Waits a bounded time until all queued lines are written. Called before the
+/// process exits.
 pub fn flush() {
-    let pause = Span::from_ms(5);
-    for _ in 0..LAST.as_ms() / pause.as_ms() {
-        if OPEN.load(Ordering::Relaxed) == 0 {
+    let poll_interval = Span::from_ms(5);
+    for _ in 0..FLUSH_TIMEOUT.as_ms() / poll_interval.as_ms() {
+        if UNWRITTEN.load(Ordering::Relaxed) == 0 {
             return;
         }
-        std::thread::sleep(pause.to_std());
+        std::thread::sleep(poll_interval.to_std());
     }
 }
 
-/// Takes lines without ever waiting for whoever reads them.
-struct Outlet(mpsc::SyncSender<Vec<u8>>);
+/// Queues lines without blocking on the reader of standard output.
+struct QueueWriter(mpsc::SyncSender<Vec<u8>>);
 
-impl Write for Outlet {
+impl Write for QueueWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        OPEN.fetch_add(1, Ordering::Relaxed);
+        UNWRITTEN.fetch_add(1, Ordering::Relaxed);
         if self.0.try_send(line.to_vec()).is_err() {
-            OPEN.fetch_sub(1, Ordering::Relaxed);
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            UNWRITTEN.fetch_sub(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -129,34 +130,35 @@
     }
 }
 
-/// Writes lines as they come, on a thread of its own: standard output may stand
-/// still for as long as its reader does.
-fn drain(lines: &mpsc::Receiver<Vec<u8>>, mut output: impl Write) {
+/// Writes queued lines in batches. Runs on its own thread because a write to
+/// standard output blocks while its reader is stalled.
+fn write_batches(lines: &mpsc::Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(first) = lines.recv() {
         let mut batch = first;
         let mut count = 1;
-        std::thread::sleep(PAUSE.to_std());
-        while batch.len() < BATCH
+        std::thread::sleep(WRITE_INTERVAL.to_std());
+        while batch.len() < MAX_BATCH_BYTES
             && let Ok(line) = lines.try_recv()
         {
             batch.extend_from_slice(&line);
             count += 1;
         }
         let written = output.write_all(&batch).and_then(|()| output.flush());
-        OPEN.fetch_sub(count, Ordering::Relaxed);
+        UNWRITTEN.fetch_sub(count, Ordering::Relaxed);
         if written.is_err() {
             return;
         }
     }
 }
 
-/// Begins to log to standard output; `RUST_LOG` says how much.
+/// Installs the logger, which writes to standard output. `RUST_LOG` sets the level;
+/// the default is `info`.
 pub fn init() {
-    let (sender, lines) = mpsc::sync_channel(WAITING);
-    std::thread::spawn(move || drain(&lines, std::io::stdout()));
+    let (sender, lines) = mpsc::sync_channel(QUEUE_CAPACITY);
+    std::thread::spawn(move || write_batches(&lines, std::io::stdout()));
     let env = env_logger::Env::default().default_filter_or("info");
     let _ = env_logger::Builder::from_env(env)
         .format(|out, record| write(out, record))
-        .target(env_logger::Target::Pipe(Box::new(Outlet(sender))))
+        .target(env_logger::Target::Pipe(Box::new(QueueWriter(sender))))
         .try_init();
 }
--- a/src/process/metric.rs
+++ b/src/process/metric.rs
@@ -1,7 +1,7 @@
-//! What the decisions count.
+//! Event counters.
 //!
-//! Decisions count into a plain [`Counts`]; the server reads it out through
-//! OpenTelemetry. docs/operate/ lists every name.
+//! The decision logic increments counters in a plain [`Counts`] value; the server
+//! exports them through OpenTelemetry. docs/operate/ lists every metric name.
 
 use std::collections::BTreeMap;
 
@@ -10,82 +10,83 @@
     retry::Reason, //
 };
 
-/// What made a request that began at the upstream.
+/// Origin of a request that was started at the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A caller.
+    /// A request from an external caller.
     Root,
-    /// A service, for a request that it works on.
+    /// A request that a service makes while it handles another one.
     Nested,
-    /// This node, to look at the upstream's health.
+    /// A health probe of this node.
     Probe,
 }
 
-/// One thing worth counting.
+/// A counter. The metric name and its labels derive from the `Debug` form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Counter {
     /// Calls that arrived from callers.
     Calls,
     /// Nested calls that arrived from the service beside the node.
     Nested,
-    /// Calls answered by an upstream, whole.
+    /// Calls for which the complete answer of an upstream was received.
     Whole,
-    /// Calls that ended with this code.
+    /// Calls that ended with this code instead of an answer.
     Refused(Code),
     /// Attempts that the inbound proxy refused with this code.
     Turned(Code),
-    /// Attempts beyond a hop's first, by reason.
+    /// Retries, that is, attempts after the first one of a hop, by reason.
     Retried(Reason),
     /// Retries that were wanted but not allowed, by reason.
     Unretried(Reason),
-    /// Requests that began at the upstream, by kind.
+    /// Requests that were started at the upstream, by origin.
     Started(Kind),
-    /// Attempts that began at a cold upstream.
+    /// Attempts that were started at a cold upstream.
     ColdStarted,
-    /// Attempts that began at an upstream that names a limit.
+    /// Attempts that were started at an upstream that announces a rate limit.
     LimitedStarted,
-    /// Limits of the upstream that are no rate.
+    /// Rate limits announced by the upstream that could not be parsed.
     LimitUnreadable,
-    /// Frames for requests that nobody waits for.
+    /// Frames that refer to a request that has ended or is unknown, or that repeat
+    /// a request already received.
     Late,
     /// Nested calls whose token named no running attempt.
     Unattributed,
-    /// Documents older than the one in force, which were ignored.
+    /// Configuration documents ignored because a newer one is in force.
     Stale,
-    /// Documents that could not be read, which were not adopted.
+    /// Configuration documents rejected because they could not be read.
     Invalid,
-    /// Frames or links of peers that did not know the fleet secret.
+    /// Frames or links of peers that failed to authenticate with the fleet secret.
     Unauthenticated,
-    /// Datagrams without the right tag, or that are no message.
+    /// Datagrams dropped because of a wrong authentication tag or malformed content.
     DatagramDropped,
-    /// Links that were made.
+    /// Links that were established.
     LinkOpened,
-    /// Links that broke, or could not be made.
+    /// Links that broke or could not be established.
     LinkBroken,
-    /// Links refused as there were too many.
+    /// Links refused because the maximum number was reached.
     LinkLimit,
-    /// Connections refused as there were too many.
+    /// Connections refused because the maximum number was reached.
     ConnectionLimit,
-    /// Answers that were cut on their way to the caller.
+    /// Answers that were cut off before the caller had received them completely.
     AnswerCut,
 }
 
-/// Counts since the node began.
+/// Counter values since the node started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts(BTreeMap<Counter, u64>);
 
 impl Counts {
-    /// Adds one.
+    /// Increments a counter by one.
     pub fn add(&mut self, counter: Counter) {
         *self.0.entry(counter).or_default() += 1;
     }
 
-    /// Reads one counter.
+    /// Returns the value of a counter.
     pub fn get(&self, counter: Counter) -> u64 {
         self.0.get(&counter).copied().unwrap_or(0)
     }
 
-    /// Every counter that is not zero, in a fixed order.
+    /// Iterates over all non-zero counters in the order of [`Counter`].
     pub fn iter(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
         self.0.iter().map(|(counter, count)| (*counter, *count))
     }
