--- a/src/process/announce.rs
+++ b/src/process/announce.rs
@@ -1,7 +1,7 @@
 //! What the service beside a node says of itself, and which of its words count.
 //!
 //! Words may come late, doubled or out of order, from an earlier life of the
-//! service, or from another writer altogether. The [`Announcer`] goes by the
+//! service, or from another writer altogether. The [`UpstreamTracker`] goes by the
 //! life first and by the place in that life second. A service that has left
 //! stays gone for that life, so that no late word brings it back.
 
@@ -115,7 +115,7 @@
 
 /// Judges the words of the service beside a node.
 #[derive(Clone, Debug)]
-pub struct Announcer {
+pub struct UpstreamTracker {
     pool: id::Pool,
     address: SocketAddr,
     heartbeat: Span,
@@ -132,8 +132,8 @@
     }
 }
 
-impl Announcer {
-    /// An announcer for the service at this address.
+impl UpstreamTracker {
+    /// An upstream_tracker for the service at this address.
     pub fn new(pool: id::Pool, address: SocketAddr, heartbeat: Span) -> Self {
         Self {
             pool,
@@ -163,7 +163,7 @@
     }
 
     /// Takes a word.
-    pub fn on(&mut self, now: Time, word: &Announcement) -> Verdict {
+    pub fn handle(&mut self, now: Time, word: &Announcement) -> Verdict {
         let foreign_pool = word.pool.as_ref().is_some_and(|pool| *pool != self.pool);
         let foreign_place = word.address.is_some_and(|address| address != self.address);
         if foreign_pool || foreign_place {
@@ -254,7 +254,7 @@
 
     /// Notes that the service answered a request: it lives, whatever became of
     /// its words.
-    pub fn answered(&mut self, now: Time) {
+    pub fn record_response(&mut self, now: Time) {
         self.heard = self.heard.max(now);
     }
 
--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -67,7 +67,7 @@
 }
 
 fn judge(carrier: &Carrier, word: &Announcement) -> Response<BoxBody> {
-    match carrier.heard(word) {
+    match carrier.handle_announcement(word) {
         Verdict::Foreign => empty(StatusCode::NOT_FOUND),
         Verdict::Changed | Verdict::Same | Verdict::Old => {
             let mut response = Response::build(StatusCode::OK);
@@ -83,16 +83,20 @@
 
 impl Carrier {
     /// Takes a word of the service.
-    pub(crate) fn heard(&self, word: &Announcement) -> Verdict {
+    pub(crate) fn handle_announcement(&self, word: &Announcement) -> Verdict {
         let now = Clock.now();
-        let mut announcer = self.announcer.borrow_mut();
-        let verdict = announcer.on(now, word);
-        let ready = announcer.is_ready();
-        let slots = announcer.upstream().and_then(|upstream| upstream.slots);
-        let warmup = announcer.upstream().map(|upstream| upstream.warmup);
-        let life = announcer.upstream().map(Upstream::id);
-        let name = announcer.upstream().map(|upstream| upstream.name.clone());
-        drop(announcer);
+        let mut upstream_tracker = self.upstream_tracker.borrow_mut();
+        let verdict = upstream_tracker.handle(now, word);
+        let ready = upstream_tracker.is_ready();
+        let slots = upstream_tracker
+            .upstream()
+            .and_then(|upstream| upstream.slots);
+        let warmup = upstream_tracker.upstream().map(|upstream| upstream.warmup);
+        let life = upstream_tracker.upstream().map(Upstream::id);
+        let name = upstream_tracker
+            .upstream()
+            .map(|upstream| upstream.name.clone());
+        drop(upstream_tracker);
         if verdict != Verdict::Same {
             log::info!(
                 upstream = word.upstream, life = word.life.unwrap_or_default(),
@@ -124,11 +128,13 @@
     }
 
     /// Learns from how an attempt at the service ended whether it lives.
-    pub(crate) fn attempted(&self, end: End) {
+    pub(crate) fn update_upstream_liveness(&self, end: End) {
         match end {
             End::Answered(_) | End::Rejected => {
                 self.refusals.set(0);
-                self.announcer.borrow_mut().answered(Clock.now());
+                self.upstream_tracker
+                    .borrow_mut()
+                    .record_response(Clock.now());
             }
             End::Refused => {
                 let refusals = self.refusals.get() + 1;
@@ -143,8 +149,8 @@
     }
 
     /// Looks whether the service has been silent for too long.
-    pub(crate) fn listen_for_silence(&self, now: Time) {
-        if self.taking.get() && self.announcer.borrow().is_silent(now) {
+    pub(crate) fn check_upstream_silence(&self, now: Time) {
+        if self.taking.get() && self.upstream_tracker.borrow().is_silent(now) {
             log::warn!("nothing was heard of the service; it counts as gone");
             self.believe(false);
         }
--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -29,7 +29,7 @@
 };
 
 use crate::{
-    announce::Announcer,
+    announce::UpstreamTracker,
     backpressure::Limit,
     clock::{
         Clock,
@@ -139,7 +139,7 @@
     pub(crate) me: member::Peer,
     settings: RefCell<Rc<Settings>>,
     pub(crate) interface: Interface,
-    pub(crate) announcer: RefCell<Announcer>,
+    pub(crate) upstream_tracker: RefCell<UpstreamTracker>,
     /// The name that the upstream gave itself.
     pub(crate) target: RefCell<Option<String>>,
     /// What the decisions were told last of the upstream.
@@ -187,7 +187,7 @@
         Rc::new_cyclic(|weak| Self {
             weak: weak.clone(),
             me,
-            announcer: RefCell::new(Announcer::new(
+            upstream_tracker: RefCell::new(UpstreamTracker::new(
                 settings.pool.clone(),
                 settings.upstream,
                 settings.heartbeat,
@@ -240,7 +240,9 @@
     pub(crate) fn reload(&self, newer: Settings, bounds: Bounds) -> Vec<&'static str> {
         let former = self.settings();
         let lasting = former.lasting(&newer);
-        self.announcer.borrow_mut().set_heartbeat(newer.heartbeat);
+        self.upstream_tracker
+            .borrow_mut()
+            .set_heartbeat(newer.heartbeat);
         self.core.borrow_mut().set_bounds(bounds);
         self.settings.replace(Rc::new(Settings {
             limits: newer.limits,
--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -219,7 +219,7 @@
                 _ = aborted => End::Aborted,
                 end = carrier.run_exchange(exchange) => end,
             };
-            carrier.attempted(end);
+            carrier.update_upstream_liveness(end);
             carrier.record_ended(request, end);
             carrier.on(Event::AttemptEnded(request, end));
         });
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -615,7 +615,7 @@
             carrier.core_mut().set_wall_clock(now, Clock.wall());
             carrier.upstream.prune(now);
             carrier.links.prune(&carrier, now);
-            carrier.listen_for_silence(now);
+            carrier.check_upstream_silence(now);
             carrier.summarize(now);
         }
     }
--- a/tests/platform/heartbeat.rs
+++ b/tests/platform/heartbeat.rs
@@ -3,8 +3,8 @@
 use bluebellswitch::{
     announce::{
         Announcement, //
-        Announcer,
         State,
+        UpstreamTracker,
         Verdict,
     },
     clock::{
@@ -89,7 +89,7 @@
 fn story(words: &[(u64, u64, State, Verdict)], ready: bool) {
     let pool = "mill".parse().expect("a name");
     let address = ADDRESS.parse().expect("an address");
-    let mut announcer = Announcer::new(pool, address, Span::from_ms(1500));
+    let mut upstream_tracker = UpstreamTracker::new(pool, address, Span::from_ms(1500));
     for (number, (life, sequence, state, verdict)) in words.iter().enumerate() {
         let word = Announcement {
             upstream: "i-7f".to_owned(),
@@ -102,12 +102,12 @@
             warmup: Span::ZERO,
         };
         assert_eq!(
-            announcer.on(Time::from_ms(1), &word),
+            upstream_tracker.handle(Time::from_ms(1), &word),
             *verdict,
             "word {number}"
         );
     }
-    assert_eq!(announcer.is_ready(), ready);
+    assert_eq!(upstream_tracker.is_ready(), ready);
 }
 
 use State::{
@@ -144,9 +144,12 @@
 fn a_server_elsewhere_is_foreign() {
     let pool = "mill".parse().expect("a name");
     let address = "10.128.0.1:1".parse().expect("an address");
-    let mut announcer = Announcer::new(pool, address, Span::from_ms(1500));
+    let mut upstream_tracker = UpstreamTracker::new(pool, address, Span::from_ms(1500));
     let word = read(BEAT, body().to_string().as_bytes()).expect("a word");
-    assert_eq!(announcer.on(Time::from_ms(1), &word), Verdict::Foreign);
+    assert_eq!(
+        upstream_tracker.handle(Time::from_ms(1), &word),
+        Verdict::Foreign
+    );
 }
 
 /// A node is restarted just as its server leaves. The first word that it hears is
@@ -157,7 +160,7 @@
 fn a_late_word_after_the_last_one_brings_nothing_back() {
     let pool = "mill".parse().expect("a name");
     let address = "10.128.0.9:8080".parse().expect("an address");
-    let mut announcer = Announcer::new(pool, address, Span::from_ms(1500));
+    let mut upstream_tracker = UpstreamTracker::new(pool, address, Span::from_ms(1500));
     let word = |life, place, state| Announcement {
         upstream: "i-1".into(),
         life,
@@ -170,14 +173,14 @@
     };
     let now = Time::from_ms(1000);
     assert_eq!(
-        announcer.on(now, &word(None, None, State::Gone)),
+        upstream_tracker.handle(now, &word(None, None, State::Gone)),
         Verdict::Old
     );
     let late = word(Some(7), Some(20), State::Ready);
-    assert_eq!(announcer.on(now, &late), Verdict::Old);
-    assert!(!announcer.is_ready());
+    assert_eq!(upstream_tracker.handle(now, &late), Verdict::Old);
+    assert!(!upstream_tracker.is_ready());
     // The same server begins anew under its name.
     let anew = word(Some(9), Some(1), State::Ready);
-    assert_eq!(announcer.on(now, &anew), Verdict::Changed);
-    assert!(announcer.is_ready());
+    assert_eq!(upstream_tracker.handle(now, &anew), Verdict::Changed);
+    assert!(upstream_tracker.is_ready());
 }
