--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -647,7 +647,7 @@
             carrier.core_mut().set_wall_clock(now, Clock.wall());
             carrier.upstream.prune(now);
             carrier.links.prune(&carrier, now);
-            carrier.listen_for_silence(now);
+            carrier.check_upstream_silence(now);
             carrier.summarize(now);
         }
     }
