--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -239,7 +239,7 @@
     /// and hold only from the next start on; they keep their values.
     pub(crate) fn reload(&self, newer: Settings, bounds: Bounds) -> Vec<&'static str> {
         let former = self.settings();
-        let lasting = former.lasting(&newer);
+        let lasting = former.fixed_fields_changed(&newer);
         self.announcer.borrow_mut().set_heartbeat(newer.heartbeat);
         self.core.borrow_mut().set_bounds(bounds);
         self.settings.replace(Rc::new(Settings {
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -192,7 +192,7 @@
 
     /// The fields in which a newer file differs and that hold for the life of a
     /// node: its identity, its sockets, and the secrets of its open links.
-    pub fn lasting(&self, newer: &Self) -> Vec<&'static str> {
+    pub fn fixed_fields_changed(&self, newer: &Self) -> Vec<&'static str> {
         let fields = [
             ("instance", self.instance == newer.instance),
             ("domain", self.domain == newer.domain),
