--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! What a node's own file of settings says, in JSON with comments.
+//! The settings file of a node, in JSON with comments.
 
 use std::{
     collections::BTreeMap,
@@ -31,31 +31,32 @@
     unit::Size, //
 };
 
-/// The shortest time for a head. The HTTP library takes the time from a clock
-/// that may be half a second old, and a deadline that has passed before its
-/// timer is set never fires: a caller that sends half a head would stay.
-const HEAD_TIME_MIN: Span = Span::from_secs(1);
+/// The minimum for `head_time`. The HTTP library reads the time from a clock
+/// that lags by up to half a second, and a deadline that has passed before its
+/// timer is set never fires: a caller that sends half a request head would keep
+/// its connection.
+const MIN_HEAD_TIME: Span = Span::from_secs(1);
 
-/// The shortest secret or token, in bytes.
-const SECRET_MIN: usize = 16;
+/// The minimum length of a secret or token, in bytes.
+const MIN_SECRET_LEN: usize = 16;
 
-/// Where a node listens.
+/// The addresses on which a node listens.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// For the service beside the node.
+    /// Requests of the service that runs on the same machine.
     #[serde(default = "Listen::default_service")]
     pub service: SocketAddr,
-    /// For links and datagrams of other nodes, on the same number.
+    /// Links (TCP) and datagrams (UDP) of other nodes, on the same port number.
     pub links: SocketAddr,
-    /// For operators.
+    /// Requests of operators.
     pub operators: SocketAddr,
-    /// For announcements of the service, where they have a place of their own.
+    /// Announcements of the service, if they have a listener of their own.
     #[serde(default)]
     pub announcements: Option<SocketAddr>,
-    /// For the question whether callers may be sent here.
+    /// Readiness checks: whether callers may be sent to this node.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
 }
@@ -66,28 +67,29 @@
     }
 }
 
-/// What a node holds off before anything is authenticated.
+/// Limits that a node enforces before a peer or caller is authenticated.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of all headers of a request.
+    /// Total size of a request's headers.
     pub headers: Size,
-    /// Time that an idle connection of a caller is kept.
+    /// Time for which an idle connection of a caller is kept open.
     pub caller_idle: Span,
-    /// Connections of callers, and as many again of the service.
+    /// Maximum number of connections of callers. The connections of the
+    /// service have a limit of their own, of the same size.
     pub connections: usize,
-    /// Links that other nodes made.
+    /// Maximum number of inbound links.
     pub links: usize,
-    /// Links that are not authenticated yet.
+    /// Maximum number of inbound links that are not authenticated yet.
     pub half_open: usize,
-    /// Time for the head of a request to arrive.
+    /// Maximum time for the head of a request to arrive.
     pub head_time: Span,
-    /// Time for the next part of a body to arrive.
+    /// Maximum time for the next chunk of a body to arrive.
     pub body_time: Span,
     /// Time after which a link without requests is closed.
     pub link_idle: Span,
-    /// Time after which an unused connection to the upstream is closed. It
-    /// must be shorter than the upstream's own.
+    /// Time after which an idle connection to the upstream is closed. It must be
+    /// shorter than the upstream's own idle timeout.
     pub upstream_idle: Span,
 }
 
@@ -107,7 +109,7 @@
     }
 }
 
-/// Everything a node is told when it starts.
+/// The settings of a node, read when it starts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -117,38 +119,39 @@
     pub domain: id::Domain,
     /// The pool that its upstream belongs to.
     pub pool: id::Pool,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: Listen,
-    /// The upstream beside it.
+    /// The address of the upstream on the same machine.
     pub upstream: SocketAddr,
-    /// The platform's key-value service.
+    /// The address of the platform's key-value service.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    /// The fleet's secret; a second one while it is changed. None where the
-    /// network is trusted.
+    /// The secret that all nodes share, or two during a rotation. Empty if
+    /// `trust_network` is set.
     pub secrets: Vec<Secret>,
-    /// Whoever reaches the node's addresses may speak to it: the network keeps
-    /// everybody else away.
+    /// Whether every host that can reach the node is trusted, so that
+    /// other nodes are not authenticated. The network must keep others out.
     #[serde(default)]
     pub trust_network: bool,
-    /// What operators show. Without one only metrics and status are served.
+    /// The token that operators authenticate with. Without one, only metrics and
+    /// status are served.
     #[serde(default)]
     pub operators_token: Option<Secret>,
-    /// Time that a stop may take, before what still runs is cut; by the pool's
-    /// row when absent.
+    /// Time that a shutdown may take before requests that still run are aborted.
+    /// Defaults to the value in the pool's configuration.
     #[serde(default)]
     pub grace: Option<Span>,
-    /// The time between two announcements of the service.
+    /// The interval between announcements of the service.
     #[serde(default = "Settings::default_heartbeat")]
     pub heartbeat: Span,
-    /// Bounds that hold for the whole fleet, for the adapter that knows their
+    /// Bounds that apply to all nodes. The adapter defines and interprets their
     /// names.
     #[serde(default)]
     pub bounds: BTreeMap<String, serde_json::Value>,
-    /// What it holds off.
+    /// Limits that apply before authentication.
     #[serde(default)]
     pub limits: Limits,
-    /// Addresses of links to ask for members.
+    /// Link addresses of other nodes, used to discover the members.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
@@ -158,31 +161,31 @@
         Span::from_ms(1500)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// With line and column, when the text is not JSON with comments, when a
-    /// field is unknown, missing or wrong, or when fields contradict each
-    /// other.
+    /// Fails if the text is not JSON with comments, if a field is unknown,
+    /// missing or invalid, or if fields contradict each other. The error has the
+    /// line and column.
     pub fn parse(text: &str) -> Result<Self> {
-        let plain = plain(text)?;
+        let plain = to_plain_json(text)?;
         let settings: Self = serde_json::from_str(&plain).map_err(|error| {
             let (line, column) = (error.line(), error.column());
-            Error::new(Code::Field, reason(&error)).at(line, column)
+            Error::new(Code::Field, message_without_position(&error)).at(line, column)
         })?;
-        settings.check().map_err(|(field, reason)| {
-            let (line, column) = place(text, field);
+        settings.validate().map_err(|(field, reason)| {
+            let (line, column) = field_position(text, field);
             Error::new(Code::Cross, reason).at(line, column)
         })?;
         Ok(settings)
     }
 
-    /// Reads and checks a file.
+    /// Reads, parses and validates a settings file.
     ///
     /// # Errors
     ///
-    /// As [`Settings::parse`], and when the file cannot be read.
+    /// Fails if the file cannot be read, and as [`Settings::parse`] does.
     pub fn load(path: &std::path::Path) -> Result<Self> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -190,8 +193,8 @@
         Self::parse(&text).map_err(|error| error.within(name))
     }
 
-    /// The fields in which a newer file differs and that hold for the life of a
-    /// node: its identity, its sockets, and the secrets of its open links.
+    /// Returns the fields that differ in `newer` but cannot change while the node
+    /// runs: its identity, its sockets, and the secrets of its open links.
     pub fn fixed_fields_changed(&self, newer: &Self) -> Vec<&'static str> {
         let fields = [
             ("instance", self.instance == newer.instance),
@@ -208,71 +211,80 @@
         changed.map(|(field, _)| field).collect()
     }
 
-    fn check(&self) -> Result<(), (&'static str, String)> {
+    fn validate(&self) -> Result<(), (&'static str, String)> {
         let listen = &self.listen;
         if listen.links.ip().is_unspecified() {
-            let reason = "other nodes need the address in `links`: name one, not all";
+            let reason =
+                "other nodes connect to the address in `links`: it must not be a wildcard address";
             return Err(("links", reason.to_owned()));
         }
-        let always = [
+        let required = [
             ("callers", listen.callers),
             ("service", listen.service),
             ("links", listen.links),
             ("operators", listen.operators),
         ];
-        let extra = [
+        let optional = [
             ("announcements", listen.announcements),
             ("ready", listen.ready),
         ];
-        let extra = extra
+        let optional = optional
             .into_iter()
             .filter_map(|(field, address)| address.map(|address| (field, address)));
-        let all: Vec<_> = always.into_iter().chain(extra).collect();
+        let all: Vec<_> = required.into_iter().chain(optional).collect();
         for (i, (field, address)) in all.iter().enumerate() {
-            let clash = |(_, other): &&(&str, SocketAddr)| clash(*address, *other);
-            if let Some((other, _)) = all[..i].iter().find(clash) {
+            let overlaps = |(_, other): &&(&str, SocketAddr)| overlap(*address, *other);
+            if let Some((other, _)) = all[..i].iter().find(overlaps) {
                 let reason = format!("`{field}` and `{other}` listen on the same address");
                 return Err((field, reason));
             }
         }
         if self.trust_network != self.secrets.is_empty() {
-            let reason = "`secrets` holds one secret, or two while it is changed, or none \
-                          with `trust_network`";
+            let reason = "`secrets` must hold one secret, or two during a rotation, and must \
+                          be empty with `trust_network`";
             return Err(("secrets", reason.to_owned()));
         }
         if !self.trust_network && self.operators_token.is_none() {
-            let reason = "without `trust_network` there has to be an `operators_token`";
+            let reason = "`operators_token` is required without `trust_network`";
             return Err(("operators_token", reason.to_owned()));
         }
         if self.secrets.len() > 2 {
-            let reason = "`secrets` holds one secret, or two while it is changed";
+            let reason = "`secrets` must hold one secret, or two during a rotation";
             return Err(("secrets", reason.to_owned()));
         }
-        if self.secrets.iter().any(|secret| secret.len() < SECRET_MIN) {
-            let reason = format!("a secret has at least {SECRET_MIN} bytes");
+        if self
+            .secrets
+            .iter()
+            .any(|secret| secret.len() < MIN_SECRET_LEN)
+        {
+            let reason = format!("a secret must have at least {MIN_SECRET_LEN} bytes");
             return Err(("secrets", reason));
         }
-        if self.limits.head_time < HEAD_TIME_MIN {
-            let reason = format!("`head_time` is at least {HEAD_TIME_MIN}");
+        if self.limits.head_time < MIN_HEAD_TIME {
+            let reason = format!("`head_time` must be at least {MIN_HEAD_TIME}");
             return Err(("head_time", reason));
         }
         let token = self.operators_token.as_ref();
-        if token.is_some_and(|token| token.len() < SECRET_MIN) {
-            let reason = format!("the operators' token has at least {SECRET_MIN} bytes");
+        if token.is_some_and(|token| token.len() < MIN_SECRET_LEN) {
+            let reason = format!("`operators_token` must have at least {MIN_SECRET_LEN} bytes");
             return Err(("operators_token", reason));
         }
         Ok(())
     }
 }
 
-fn clash(a: SocketAddr, b: SocketAddr) -> bool {
-    let any = |ip: IpAddr| ip.is_unspecified();
-    a.port() != 0 && a.port() == b.port() && (a.ip() == b.ip() || any(a.ip()) || any(b.ip()))
+/// Whether two listeners cannot be bound at the same time. Port 0 stands for any
+/// free port and a wildcard address overlaps every address.
+fn overlap(a: SocketAddr, b: SocketAddr) -> bool {
+    let is_wildcard = |ip: IpAddr| ip.is_unspecified();
+    a.port() != 0
+        && a.port() == b.port()
+        && (a.ip() == b.ip() || is_wildcard(a.ip()) || is_wildcard(b.ip()))
 }
 
-/// The text as plain JSON: comments and trailing commas become blanks, so that
-/// every value keeps its line and column.
-fn plain(text: &str) -> Result<String> {
+/// Converts JSON with comments to plain JSON. Comments and trailing commas are
+/// replaced by spaces, so that every value keeps its line and column.
+fn to_plain_json(text: &str) -> Result<String> {
     let collect = CollectOptions {
         comments: CommentCollectionStrategy::AsTokens,
         tokens: true,
@@ -289,27 +301,28 @@
     let mut plain = String::with_capacity(text.len());
     for (i, token) in tokens.iter().enumerate() {
         let (start, end) = (token.range.start, token.range.end);
-        plain.extend(text[plain_end(&tokens, i)..start].chars().map(blank));
+        plain.extend(text[previous_end(&tokens, i)..start].chars().map(blank));
         let next = tokens.get(i + 1).map(|next| &next.token);
-        let closes = matches!(next, Some(Token::CloseBrace | Token::CloseBracket));
+        let is_trailing = matches!(next, Some(Token::CloseBrace | Token::CloseBracket));
         match token.token {
-            Token::Comma if closes => plain.push(' '),
+            Token::Comma if is_trailing => plain.push(' '),
             _ => plain.push_str(&text[start..end]),
         }
     }
     Ok(plain)
 }
 
-/// Where the token before this one ends.
-fn plain_end(tokens: &[&TokenAndRange<'_>], i: usize) -> usize {
+/// Returns the offset at which the token before `i` ends.
+fn previous_end(tokens: &[&TokenAndRange<'_>], i: usize) -> usize {
     match i {
         0 => 0,
         _ => tokens[i - 1].range.end,
     }
 }
 
-/// The reason alone: place and number are given apart.
-fn reason(error: &serde_json::Error) -> String {
+/// Returns the message of an error without its position and code, which
+/// [`Error`] holds in fields of its own.
+fn message_without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let reason = text
         .rsplit_once(" at line ")
@@ -320,8 +333,9 @@
     reason.to_owned()
 }
 
-/// Where a field's name stands in the text, by line and column.
-fn place(text: &str, field: &str) -> (usize, usize) {
+/// Returns the line and column at which a field's name first occurs, or the
+/// start of the text if it does not.
+fn field_position(text: &str, field: &str) -> (usize, usize) {
     let Some(at) = text.find(&format!("\"{field}\"")) else {
         return (1, 1);
     };
