--- a/src/process/store.rs
+++ b/src/process/store.rs
@@ -1,8 +1,8 @@
-//! The platform's key-value service, as the rest of the program sees it.
+//! The interface of the platform's key-value service.
 //!
-//! A call may be answered, refused, or lost. A lost call is the ordinary case
-//! of an outage, and of an answer that was lost after the write took effect:
-//! whoever made it must read back before concluding anything.
+//! A call may be answered, rejected or lost. A call is lost in an outage, but
+//! also if the response is lost after the write took effect: the caller must
+//! read the value back to learn the outcome.
 
 use std::{
     future::Future,
@@ -22,82 +22,82 @@
     },
 };
 
-/// One call to the service.
+/// A request to the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Reads one value.
     Get {
-        /// Its name.
+        /// The key of the value.
         key: String,
     },
-    /// Reads all values whose name begins so.
+    /// Reads all values whose key has a prefix.
     List {
-        /// The beginning.
+        /// The prefix of the keys.
         prefix: String,
     },
-    /// Writes a value if its revision is still the expected one.
+    /// Writes a value if its revision is the expected one (compare-and-swap).
     Swap {
-        /// Its name.
+        /// The key of the value.
         key: String,
-        /// The expected revision; zero when it must not exist.
+        /// The expected revision; zero if the key must not exist.
         expect: Revision,
-        /// The new value; nothing deletes it.
+        /// The new value, or `None` to delete the key.
         value: Option<String>,
-        /// The lease with which the value goes.
+        /// The lease with which the value expires, if any.
         lease: Option<Lease>,
     },
-    /// Makes a lease.
+    /// Creates a lease.
     Grant {
-        /// How long it lasts without renewal.
+        /// The time after which the lease expires unless it is renewed.
         ttl: Span,
     },
     /// Renews a lease.
     Renew {
-        /// Which.
+        /// The lease to renew.
         lease: Lease,
     },
-    /// Ends a lease, with all its values.
+    /// Ends a lease and deletes the values attached to it.
     Revoke {
-        /// Which.
+        /// The lease to end.
         lease: Lease,
     },
-    /// Writes a value, whatever is there.
+    /// Writes a value unconditionally.
     Put {
-        /// Its name.
+        /// The key of the value.
         key: String,
         /// The new value.
         value: String,
-        /// The lease with which the value goes.
+        /// The lease with which the value expires, if any.
         lease: Option<Lease>,
     },
-    /// Reads all values whose name begins so, and the revision from which to
-    /// follow them.
+    /// Reads all values whose key has a prefix, and the revision from which to
+    /// follow their changes.
     Read {
-        /// The beginning.
+        /// The prefix of the keys.
         prefix: String,
     },
-    /// Waits until a value whose name begins so changes after a revision.
+    /// Waits until a value whose key has a prefix changes after a revision.
     Follow {
-        /// The beginning.
+        /// The prefix of the keys.
         prefix: String,
         /// The revision already known.
         after: Revision,
-        /// How long to wait before answering with no news.
+        /// The time after which the service answers even if nothing changed.
         wait: Span,
     },
-    /// Waits until a value is newer than a revision.
+    /// Waits until a value has a newer revision than the given one.
     Watch {
-        /// Its name.
+        /// The key of the value.
         key: String,
         /// The revision already known.
         after: Revision,
-        /// How long to wait before answering with no news.
+        /// The time after which the service answers even if nothing changed.
         wait: Span,
     },
 }
 
 impl Call {
-    /// Whether the call changes something: values, or how long a lease lasts.
+    /// Whether the call changes values or leases.
     pub fn writes(&self) -> bool {
         !matches!(
             self,
@@ -109,8 +109,8 @@
         )
     }
 
-    /// The question for what has changed since a revision; for all there is without
-    /// one.
+    /// Returns the call that waits for changes after a revision, or without a
+    /// revision, the call that reads all values.
     pub fn changes(prefix: &str, after: Option<Revision>, wait: Span) -> Self {
         let prefix = prefix.to_owned();
         match after {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The revision after which the call follows changes.
+    /// Returns the revision after which the call waits for changes, if it waits.
     pub fn after(&self) -> Option<Revision> {
         match self {
             Self::Follow { after, .. } | Self::Watch { after, .. } => Some(*after),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The key or prefix that the call names, if it names one.
+    /// Returns the key or prefix of the call, if it has one.
     pub fn key(&self) -> Option<&str> {
         match self {
             Self::Get { key } | Self::Swap { key, .. } | Self::Watch { key, .. } => Some(key),
@@ -144,70 +144,71 @@
     }
 }
 
-/// A value with its revision.
+/// A value with its key and revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// Its value.
+    /// The value.
     pub value: String,
-    /// When it was written, counted over the whole service.
+    /// The revision of the write. Revisions count all writes to the service.
     pub revision: Revision,
 }
 
-/// What became of a value.
+/// A write or deletion of a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// The value as it was written; nothing when it was deleted.
+    /// The value as written, or `None` if it was deleted.
     pub entry: Option<Entry>,
 }
 
-/// The service's answer.
+/// A response of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// A value, or nothing when it does not exist.
+    /// A value, or `None` if it does not exist.
     Value(Option<Entry>),
     /// Several values.
     Values(Vec<Entry>),
-    /// Several values, as the service was at this revision or a little later.
+    /// Several values. They may include writes later than the revision `at`.
     Listing {
         /// The values.
         entries: Vec<Entry>,
-        /// From where to follow them.
+        /// The revision from which to follow their changes.
         at: Revision,
     },
-    /// What changed, in order; nothing when the time of waiting is over.
+    /// The changes, in order; empty if the wait timed out.
     Changes {
-        /// The changes.
+        /// The changes, oldest first.
         changes: Vec<Change>,
-        /// From where to go on.
+        /// The revision from which to continue.
         at: Revision,
     },
-    /// The changes after that revision are not kept any more.
+    /// The changes after the requested revision have been compacted: the caller
+    /// must read all values again.
     Forgotten,
-    /// The write took effect, at this revision.
+    /// The write succeeded, at this revision.
     Swapped(Revision),
-    /// Somebody else wrote first: the value as it is now.
+    /// The revision was not the expected one. Holds the current value.
     Conflict(Option<Entry>),
-    /// A lease was made or renewed, and lasts this long from the call on.
+    /// A lease was created or renewed.
     Leased {
-        /// Which.
+        /// The lease.
         lease: Lease,
-        /// How long.
+        /// The time to live, counted from when the call was made.
         ttl: Span,
     },
-    /// The lease does not exist any more.
+    /// The lease no longer exists.
     Expired,
-    /// Nothing newer in the time of a watch, or a lease was revoked.
+    /// A watch timed out without a newer revision, or a lease was revoked.
     Quiet,
-    /// No answer: a write may or may not have taken effect.
+    /// No valid response: a write may or may not have taken effect.
     Lost,
 }
 
 /// A client of the service.
 pub trait Store {
-    /// Makes one call. A failure of any kind is [`Answer::Lost`].
+    /// Makes a call. Every failure is reported as [`Answer::Lost`].
     fn call(&self, call: Call) -> Pin<Box<dyn Future<Output = Answer>>>;
 }
