--- a/src/process/client.rs
+++ b/src/process/client.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's key-value service, over HTTP and JSON.
+//! An HTTP client for the platform's key-value service, with JSON bodies.
 //!
-//! Whatever goes wrong, from a refused connection to an answer that cannot be
-//! read, is [`Answer::Lost`]: the call may or may not have taken effect.
+//! Every failure, from a refused connection to an invalid response, is reported
+//! as [`Answer::Lost`]: the call may or may not have taken effect.
 
 use std::{
     future::Future,
@@ -20,13 +20,15 @@
     },
 };
 
-/// The longest answer, in bytes; a list of values may be longer than one.
-const ANSWER_LIMIT: usize = 8 << 20;
-/// How long an idle connection is kept: less than servers keep theirs, so that
-/// no call is sent on a connection which the server is just closing.
-const KEEP: Span = Span::from_secs(4);
+/// The maximum size of a response body, in bytes. It is sized for lists of
+/// values, which are longer than a single value.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Time for which an idle connection is kept open. It is shorter than the idle
+/// timeout of servers, so that no call is sent on a connection that the server
+/// is closing.
+const KEEP_ALIVE: Span = Span::from_secs(4);
 
-/// A client with its connections.
+/// A client with a connection pool.
 #[derive(Clone)]
 pub struct Client {
     http: awc::Client,
@@ -35,12 +37,12 @@
 }
 
 impl Client {
-    /// A client that gives up on a call after `timeout`, or on a watch that
-    /// much after its own wait.
+    /// Creates a client whose calls time out after `timeout`, and whose watches
+    /// time out that much after their own wait.
     pub fn new(address: SocketAddr, timeout: Span) -> Self {
         let connector = Connector::new()
             .timeout(timeout.to_std())
-            .conn_keep_alive(KEEP.to_std());
+            .conn_keep_alive(KEEP_ALIVE.to_std());
         let http = awc::Client::builder()
             .connector(connector)
             .disable_redirects()
@@ -57,23 +59,26 @@
         let request = self.http.post(format!("http://{}/call", self.address));
         let mut response = request.send_json(&call).await.ok()?;
         if !response.status().is_success() {
-            log::warn!("the platform's service answered {}", response.status());
+            log::warn!(
+                "the key-value service responded with status {}",
+                response.status()
+            );
             return None;
         }
-        let body = response.body().limit(ANSWER_LIMIT).await.ok()?;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 }
 
 impl Store for Client {
     fn call(&self, call: Call) -> Pin<Box<dyn Future<Output = Answer>>> {
-        let limit = match call {
+        let deadline = match call {
             Call::Watch { wait, .. } => wait + self.timeout,
             _ => self.timeout,
         };
         let answer = self.clone().send(call);
         Box::pin(async move {
-            let answer = tokio::time::timeout(limit.to_std(), answer).await;
+            let answer = tokio::time::timeout(deadline.to_std(), answer).await;
             answer.ok().flatten().unwrap_or(Answer::Lost)
         })
     }
--- a/src/process/interface.rs
+++ b/src/process/interface.rs
@@ -1,9 +1,10 @@
-//! What differs between the product's own surroundings and others.
+//! The parts of a node that depend on the platform it runs on.
 //!
-//! A node decides the same things wherever it runs. How headers are called,
-//! what a code is as a status, how the service announces itself and what the
-//! stored configuration looks like are given to it as data and plain functions.
-//! [`Interface::own`] is the product's own; an adapter makes another.
+//! A node makes the same decisions on every platform. The header names, the
+//! HTTP status of each error code, the format of announcements and the format of
+//! the stored configuration are passed to it as data and plain functions.
+//! [`Interface::own`] is the default; an adapter for another platform defines
+//! its own.
 
 use crate::{
     announce::Announcement,
@@ -15,66 +16,67 @@
     unit::Size, //
 };
 
-/// A configuration that other operators' tools keep in the store.
+/// A configuration that a platform's own tools keep in the key-value store.
 #[derive(Clone, Copy, Debug)]
 pub struct Source {
-    /// How the names begin of all that operators write, the configuration's and
-    /// those of evacuations.
+    /// The common prefix of all keys that operators write: the configuration's
+    /// and those of evacuations.
     pub prefix: &'static str,
-    /// Its name in the store.
+    /// The key of the configuration.
     pub key: &'static str,
-    /// The failure domain that is evacuated while there is a value of this name.
+    /// Returns the failure domain that is evacuated while the given key exists, or
+    /// `None` if the key is not one of an evacuation.
     pub evacuated: fn(&str) -> Option<id::Domain>,
-    /// Reads it.
+    /// Parses the configuration.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or contradicts itself.
+    /// Fails if the configuration is malformed or contradicts itself.
     pub read: fn(&str) -> Result<Snapshot>,
 }
 
 /// A request on the listener for announcements.
 #[derive(Clone, Copy, Debug)]
 pub struct Notice<'a> {
-    /// Its method.
+    /// The method.
     pub method: &'a str,
-    /// Its path.
+    /// The path.
     pub path: &'a str,
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
 }
 
-/// The surroundings of a node.
+/// The platform-dependent parts of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Interface {
-    /// The names of headers.
+    /// The header names.
     pub names: Names,
-    /// The status that carries a code to a caller.
+    /// Returns the HTTP status with which a code is reported to a caller.
     pub status: fn(Code) -> u16,
-    /// Where the configuration comes from; by the product's own documents when
-    /// absent.
+    /// The source of the configuration, or `None` to use the built-in document
+    /// format.
     pub configuration: Option<Source>,
-    /// Reads an announcement of a service.
+    /// Parses an announcement of a service.
     ///
     /// # Errors
     ///
-    /// When it names no upstream that could be used.
+    /// Fails if the announcement does not describe a usable upstream.
     pub announcement: fn(Notice<'_>) -> Result<Announcement>,
-    /// The path of the question whether callers may be sent here.
+    /// The path of readiness checks: whether callers may be sent to this node.
     pub ready_path: &'static str,
-    /// Whether an upstream's answer may end with its connection, whole if that
-    /// ends in order.
+    /// Whether an upstream may delimit an answer by closing the connection. The
+    /// answer is complete if the connection closes cleanly.
     pub closes: bool,
-    /// Answers up to this size are held until they are whole. What is cut
-    /// before can still be tried again, and never looks like a success.
+    /// Answers up to this size are buffered until they are complete. A truncated
+    /// answer can then still be retried, and is never reported as a success.
     pub held_answer: Size,
-    /// Bodies of requests up to this size are held until they are whole, and
-    /// can be sent again.
+    /// Request bodies up to this size are buffered until they are complete, and
+    /// can be sent again on a retry.
     pub held_body: Size,
 }
 
 impl Interface {
-    /// The product's own.
+    /// The default interface.
     pub const fn own() -> Self {
         Self {
             names: Names::own(),
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! The long-lived components of a node: its state, tasks, listeners and clients.
 
 pub mod announce;
 pub(crate) mod beside;
--- a/src/process/probe.rs
+++ b/src/process/probe.rs
@@ -1,9 +1,9 @@
-//! Finds an upstream that does not announce itself, by its health endpoint.
+//! Detects an upstream that does not announce itself, by its health endpoint.
 //!
-//! The endpoint may lag or mislead, so it never overrules what the service
-//! itself said: after `/leave` it cannot bring the upstream back. Nor does an
-//! ill answer take an upstream away; only an address at which nothing listens
-//! any more does.
+//! The endpoint may be late or wrong, so it never overrides what the service
+//! itself announced: after `/leave` it cannot bring the upstream back. An
+//! unhealthy answer does not remove an upstream either; only refused connections
+//! do.
 
 use std::rc::Rc;
 
@@ -19,63 +19,68 @@
     node::Event, //
 };
 
-/// Time between two probes, and the longest that one may take.
-const PERIOD: Span = Span::from_secs(1);
+/// The interval between probes, and the timeout of each.
+const PROBE_PERIOD: Span = Span::from_secs(1);
 
-/// Refused connections in a row after which the upstream counts as gone.
-const REFUSALS: u32 = 3;
+/// The number of consecutive refused connections after which the upstream is
+/// considered gone.
+const MAX_REFUSALS: u32 = 3;
 
-/// What came of one probe.
+/// The result of a probe.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Finding {
-    /// It answered that it is well.
-    Well,
-    /// It answered something else, or not in time.
-    Ill,
-    /// Nothing listens at its address.
+enum ProbeResult {
+    /// It answered with a success status.
+    Healthy,
+    /// It answered with another status, or failed to answer in time.
+    Unhealthy,
+    /// The connection was refused: nothing listens at the address.
     Refused,
 }
 
-/// Probes until the node ends.
+/// Runs probes until the node stops.
 pub(crate) async fn run(carrier: Rc<Carrier>) {
     let mut refusals = 0;
-    let mut found = false;
+    let mut detected = false;
     loop {
-        tokio::time::sleep(PERIOD.to_std()).await;
-        let Some(path) = path(&carrier) else { continue };
+        tokio::time::sleep(PROBE_PERIOD.to_std()).await;
+        let Some(path) = health_path(&carrier) else {
+            continue;
+        };
         if !carrier.core_mut().try_admit_probe(Clock.now()) {
             continue;
         }
-        let (finding, warmup) = probe(&carrier, path).await;
+        let (result, warmup) = probe(&carrier, path).await;
         if let Some(left) = warmup {
             carrier.on(Event::UpstreamWarmup(left));
         }
-        carrier.on(Event::UpstreamHealth(finding == Finding::Well));
-        refusals = match finding {
-            Finding::Refused => refusals + 1,
-            Finding::Well | Finding::Ill => 0,
+        carrier.on(Event::UpstreamHealth(result == ProbeResult::Healthy));
+        refusals = match result {
+            ProbeResult::Refused => refusals + 1,
+            ProbeResult::Healthy | ProbeResult::Unhealthy => 0,
         };
-        let exists = match finding {
-            Finding::Well => true,
-            Finding::Ill => found,
-            Finding::Refused => found && refusals < REFUSALS,
+        let exists = match result {
+            ProbeResult::Healthy => true,
+            ProbeResult::Unhealthy => detected,
+            ProbeResult::Refused => detected && refusals < MAX_REFUSALS,
         };
-        if exists != found && !carrier.has_left() {
-            found = exists;
-            log::info!(found = found; "the health probe looked for the upstream");
-            carrier.on(Event::UpstreamReady(found));
+        if exists != detected && !carrier.has_left() {
+            detected = exists;
+            log::info!(found = detected; "the health probe detected a change of the upstream");
+            carrier.on(Event::UpstreamReady(detected));
         }
     }
 }
 
-fn path(carrier: &Carrier) -> Option<String> {
+/// Returns the path of the health endpoint, if the pool has one.
+fn health_path(carrier: &Carrier) -> Option<String> {
     let core = carrier.core();
     let pool = core.snapshot().tables.pool(&carrier.settings().pool)?;
     pool.health.clone()
 }
 
-/// Probes once. The answer may tell how much longer the upstream is cold.
-async fn probe(carrier: &Carrier, path: String) -> (Finding, Option<Span>) {
+/// Runs one probe. The answer may also report the remaining warm-up time of the
+/// upstream.
+async fn probe(carrier: &Carrier, path: String) -> (ProbeResult, Option<Span>) {
     let head = Head {
         method: "GET".to_owned(),
         target: path,
@@ -85,7 +90,7 @@
     };
     let inlet = Inlet::new(|_| {});
     inlet.end(xxhash_rust::xxh3::xxh3_64(&[]));
-    let begun = Clock.now();
+    let started = Clock.now();
     let exchange = async {
         let mut answer = carrier.upstream.send(&head, inlet).await?;
         while carrier
@@ -97,17 +102,17 @@
         {}
         Ok(answer)
     };
-    let answer = match tokio::time::timeout(PERIOD.to_std(), exchange).await {
+    let answer = match tokio::time::timeout(PROBE_PERIOD.to_std(), exchange).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(End::Refused)) => return (Finding::Refused, None),
-        _ => return (Finding::Ill, None),
+        Ok(Err(End::Refused)) => return (ProbeResult::Refused, None),
+        _ => return (ProbeResult::Unhealthy, None),
     };
     if let Some(signal) = answer.signal {
-        carrier.on(Event::UpstreamSignal(signal, begun));
+        carrier.on(Event::UpstreamSignal(signal, started));
     }
-    let finding = match answer.head.status {
-        200..=299 => Finding::Well,
-        _ => Finding::Ill,
+    let result = match answer.head.status {
+        200..=299 => ProbeResult::Healthy,
+        _ => ProbeResult::Unhealthy,
     };
-    (finding, answer.warmup)
+    (result, answer.warmup)
 }
