--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -243,7 +243,7 @@
     /// take effect only after a restart; these keep their values.
     pub(crate) fn reload(&self, newer: Settings, bounds: Bounds) -> Vec<&'static str> {
         let former = self.settings();
-        let lasting = former.lasting(&newer);
+        let lasting = former.fixed_fields_changed(&newer);
         self.upstream_tracker
             .borrow_mut()
             .set_heartbeat(newer.heartbeat);
