--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -502,7 +502,7 @@
             .await
             .unwrap_or(Reply::Refuse(Code::LinkLost, None)),
     };
-    let close = exchange.close || carrier.is_draining() || carrier.is_crowded();
+    let close = exchange.close || carrier.is_draining() || carrier.is_near_connection_limit();
     match reply {
         Reply::Refuse(code, wait) => {
             let mut output = BytesMut::with_capacity(512);
--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -101,7 +101,7 @@
             );
         }
         if matches!(verdict, Verdict::Changed | Verdict::Same) {
-            self.refusals.set(0);
+            self.connect_failures.set(0);
             *self.target.borrow_mut() = name;
             if let Some(life) = life {
                 self.on(Event::UpstreamStarted(life));
@@ -118,7 +118,7 @@
 
     /// Tells the decisions whether the service takes requests, if that is new.
     fn believe(&self, ready: bool) {
-        if self.taking.replace(ready) != ready {
+        if self.reported_ready.replace(ready) != ready {
             self.on(Event::UpstreamReady(ready));
         }
     }
@@ -127,12 +127,12 @@
     pub(crate) fn attempted(&self, end: End) {
         match end {
             End::Answered(_) | End::Rejected => {
-                self.refusals.set(0);
+                self.connect_failures.set(0);
                 self.announcer.borrow_mut().answered(Clock.now());
             }
             End::Refused => {
-                let refusals = self.refusals.get() + 1;
-                self.refusals.set(refusals);
+                let refusals = self.connect_failures.get() + 1;
+                self.connect_failures.set(refusals);
                 if refusals == REFUSALS && self.settings().listen.announcements.is_some() {
                     log::warn!("the service accepts no connection; it counts as gone");
                     self.believe(false);
@@ -144,7 +144,7 @@
 
     /// Looks whether the service has been silent for too long.
     pub(crate) fn listen_for_silence(&self, now: Time) {
-        if self.taking.get() && self.announcer.borrow().is_silent(now) {
+        if self.reported_ready.get() && self.announcer.borrow().is_silent(now) {
             log::warn!("nothing was heard of the service; it counts as gone");
             self.believe(false);
         }
--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -146,16 +146,16 @@
     /// Name that the upstream announced for itself.
     pub(crate) target: RefCell<Option<String>>,
     /// Readiness of the upstream as last reported to the core.
-    pub(crate) taking: Cell<bool>,
+    pub(crate) reported_ready: Cell<bool>,
     /// Consecutive connection attempts that the upstream did not accept.
-    pub(crate) refusals: Cell<u32>,
+    pub(crate) connect_failures: Cell<u32>,
     pub(crate) ring: Ring,
     core: RefCell<Core>,
     queue: RefCell<VecDeque<Event>>,
     dispatching: Cell<bool>,
     last_number: Cell<u64>,
     /// Open connections of callers.
-    pub(crate) callers: Cell<usize>,
+    pub(crate) caller_connections: Cell<usize>,
     counts: RefCell<Counts>,
     calls: RefCell<HashMap<id::Call, Pending>>,
     pub(crate) attempts: RefCell<HashMap<id::Request, Attempt>>,
@@ -176,7 +176,7 @@
     /// call ends.
     changed: Notify,
     /// Notified when a request arrives at an idle node, and when draining begins.
-    pub(crate) woken: Notify,
+    pub(crate) work_arrived: Notify,
 }
 
 impl Carrier {
@@ -197,15 +197,15 @@
                 settings.heartbeat,
             )),
             target: RefCell::default(),
-            taking: Cell::new(false),
-            refusals: Cell::new(0),
+            reported_ready: Cell::new(false),
+            connect_failures: Cell::new(0),
             ring: Ring::new(link_secrets(&settings)),
             interface,
             core: RefCell::new(core),
             queue: RefCell::default(),
             dispatching: Cell::new(false),
             last_number: Cell::new(0),
-            callers: Cell::new(0),
+            caller_connections: Cell::new(0),
             counts: RefCell::default(),
             calls: RefCell::default(),
             attempts: RefCell::default(),
@@ -226,7 +226,7 @@
             recorder: Recorder::default(),
             last_summary: RefCell::default(),
             changed: Notify::new(),
-            woken: Notify::new(),
+            work_arrived: Notify::new(),
             settings: RefCell::new(Rc::new(settings)),
         })
     }
@@ -290,8 +290,8 @@
     /// the previous ones idle: they reach the limit within seconds, and new
     /// callers are then disconnected without an answer. Above half of the limit
     /// every answer tells its caller that the connection will be closed.
-    pub(crate) fn is_crowded(&self) -> bool {
-        self.callers.get() > self.limits().connections / 2
+    pub(crate) fn is_near_connection_limit(&self) -> bool {
+        self.caller_connections.get() > self.limits().connections / 2
     }
 
     /// Waits until the node begins to drain.
@@ -309,7 +309,7 @@
     }
 
     /// Whether the service last announced that it is leaving.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn is_service_leaving(&self) -> bool {
         self.leaving.get()
     }
 
@@ -341,13 +341,13 @@
     }
 
     /// Whether an attempt sent to the peer is in progress.
-    pub(crate) fn attempts_at(&self, peer: &id::Instance) -> bool {
+    pub(crate) fn has_attempts_to(&self, peer: &id::Instance) -> bool {
         let attempts = self.attempts.borrow();
         attempts.values().any(|attempt| attempt.peer == *peer)
     }
 
     /// Attempts sent to the peer that are in progress.
-    pub(crate) fn attempts_of(&self, peer: &id::Instance) -> Vec<id::Request> {
+    pub(crate) fn attempts_to(&self, peer: &id::Instance) -> Vec<id::Request> {
         let attempts = self.attempts.borrow();
         let theirs = attempts.iter().filter(|(_, attempt)| attempt.peer == *peer);
         theirs.map(|(request, _)| *request).collect()
@@ -356,14 +356,14 @@
     pub(crate) fn drain(&self) {
         if !self.draining.replace(true) {
             self.changed.notify_waiters();
-            self.woken.notify_one();
+            self.work_arrived.notify_one();
             self.on(Event::Drain);
         }
     }
 
     pub(crate) fn wake(&self) {
         if !self.is_busy() {
-            self.woken.notify_one();
+            self.work_arrived.notify_one();
         }
     }
 
--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -93,7 +93,7 @@
     pub(crate) fn prune(&self, carrier: &Carrier, now: Time) {
         let idle = carrier.limits().link_idle;
         let quiet = |peer: &id::Instance, link: &Link| {
-            now.since(link.used.get()) >= idle && !carrier.attempts_at(peer)
+            now.since(link.used.get()) >= idle && !carrier.has_attempts_to(peer)
         };
         let mut links = self.dialed.borrow_mut();
         links.retain(|peer, link| !quiet(peer, link));
@@ -234,7 +234,7 @@
     // retry may be on its way to the same peer already, over the next link.
     let unsent = match opened {
         true => Vec::new(),
-        false => carrier.attempts_of(&peer),
+        false => carrier.attempts_to(&peer),
     };
     if unsent.is_empty() {
         return carrier.on(Event::OutboundLinkLost(peer));
--- a/src/process/probe.rs
+++ b/src/process/probe.rs
@@ -60,7 +60,7 @@
             Finding::Ill => found,
             Finding::Refused => found && refusals < REFUSALS,
         };
-        if exists != found && !carrier.has_left() {
+        if exists != found && !carrier.is_service_leaving() {
             found = exists;
             log::info!(found = found; "the health probe looked for the upstream");
             carrier.on(Event::UpstreamReady(found));
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -482,14 +482,16 @@
             tokio::time::sleep(BUSY_TICK.to_std()).await;
             continue;
         };
-        if carrier.callers.get() >= carrier.limits().connections {
+        if carrier.caller_connections.get() >= carrier.limits().connections {
             carrier.count(Counter::ConnectionLimit);
             continue;
         }
         let _ = stream.set_nodelay(true);
         let (carrier, connections) = (carrier.clone(), connections.clone());
         actix_rt::spawn(async move {
-            carrier.callers.set(carrier.callers.get() + 1);
+            carrier
+                .caller_connections
+                .set(carrier.caller_connections.get() + 1);
             connections.count.set(connections.count.get() + 1);
             door::serve(
                 carrier.clone(),
@@ -497,7 +499,9 @@
                 close_requested(connections.clone()),
             )
             .await;
-            carrier.callers.set(carrier.callers.get() - 1);
+            carrier
+                .caller_connections
+                .set(carrier.caller_connections.get() - 1);
             connections.count.set(connections.count.get() - 1);
             connections.count_changed.notify_waiters();
         });
@@ -637,7 +641,7 @@
             let idle_tick = tokio::time::sleep(IDLE_TICK.to_std());
             tokio::select! {
                 () = idle_tick => {}
-                () = carrier.woken.notified() => {}
+                () = carrier.work_arrived.notified() => {}
             }
         }
         carrier.on(Event::Tick);
