--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -242,8 +242,8 @@
     /// Applies new settings to the running node. Returns the changed fields that
     /// take effect only after a restart; these keep their values.
     pub(crate) fn reload(&self, newer: Settings, bounds: Bounds) -> Vec<&'static str> {
-        let former = self.settings();
-        let lasting = former.lasting(&newer);
+        let previous = self.settings();
+        let lasting = previous.lasting(&newer);
         self.announcer.borrow_mut().set_heartbeat(newer.heartbeat);
         self.core.borrow_mut().set_bounds(bounds);
         self.settings.replace(Rc::new(Settings {
@@ -252,7 +252,7 @@
             heartbeat: newer.heartbeat,
             bounds: newer.bounds,
             operators_token: newer.operators_token,
-            ..(*former).clone()
+            ..(*previous).clone()
         }));
         lasting
     }
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -493,12 +493,7 @@
                 .caller_connections
                 .set(carrier.caller_connections.get() + 1);
             connections.count.set(connections.count.get() + 1);
-            door::serve(
-                carrier.clone(),
-                stream,
-                close_requested(connections.clone()),
-            )
-            .await;
+            door::serve(carrier.clone(), stream, wait_for_close(connections.clone())).await;
             carrier
                 .caller_connections
                 .set(carrier.caller_connections.get() - 1);
@@ -570,7 +565,7 @@
         .client_request_timeout(limits.head_time.to_std())
         .client_disconnect_timeout(FLUSH_TIMEOUT.to_std())
         .h1_allow_half_closed(false)
-        .graceful_shutdown_signal(move || close_requested(closing.clone()))
+        .graceful_shutdown_signal(move || wait_for_close(closing.clone()))
         .h1(fn_service(move |request| {
             let response = handler(request);
             async move { Ok::<_, Infallible>(response.await) }
@@ -605,7 +600,7 @@
 }
 
 /// Waits until the server closes its connections.
-async fn close_requested(connections: Rc<OpenConnections>) {
+async fn wait_for_close(connections: Rc<OpenConnections>) {
     while !connections.closing.get() {
         connections.close_requested.notified().await;
     }
