--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -91,7 +91,7 @@
 };
 
 /// An attempt that this node sent.
-pub(crate) struct Attempt {
+pub(crate) struct SentAttempt {
     pub(crate) call: id::Call,
     pub(crate) peer: id::Instance,
     pub(crate) inlet: Rc<Inlet>,
@@ -100,7 +100,7 @@
 }
 
 /// An attempt that this node received.
-pub(crate) struct Running {
+pub(crate) struct ReceivedAttempt {
     pub(crate) peer: id::Instance,
     pub(crate) head: Head,
     pub(crate) context: Context,
@@ -158,8 +158,8 @@
     pub(crate) caller_connections: Cell<usize>,
     counts: RefCell<Counts>,
     calls: RefCell<HashMap<id::Call, Pending>>,
-    pub(crate) attempts: RefCell<HashMap<id::Request, Attempt>>,
-    pub(crate) running: RefCell<HashMap<id::Request, Running>>,
+    pub(crate) attempts: RefCell<HashMap<id::Request, SentAttempt>>,
+    pub(crate) running: RefCell<HashMap<id::Request, ReceivedAttempt>>,
     pub(crate) links: Links,
     pub(crate) upstream: upstream::Pool,
     socket: UdpSocket,
@@ -482,7 +482,7 @@
         peer: &id::Instance,
     ) -> Rc<Outlet> {
         let outlet = Outlet::new();
-        let attempt = Attempt {
+        let attempt = SentAttempt {
             call,
             peer: peer.clone(),
             inlet: self.inlet(peer, request, Side::Answer),
--- a/src/process/intake.rs
+++ b/src/process/intake.rs
@@ -5,9 +5,9 @@
 
 use crate::{
     carrier::{
-        Attempt,
         Carrier,
-        Running, //
+        ReceivedAttempt,
+        SentAttempt, //
     },
     clock::Clock,
     connection::body::{
@@ -52,7 +52,7 @@
                 if head.length == Some(0) {
                     inlet.end(xxhash_rust::xxh3::xxh3_64(&[]));
                 }
-                let running = Running {
+                let running = ReceivedAttempt {
                     peer: peer.clone(),
                     context: context.clone(),
                     claimed: claim.is_some(),
@@ -156,7 +156,7 @@
             After::Nothing => {}
             After::Attempt(request) => self.forget_attempt(request),
             After::Cancelled(request) => {
-                let waits = |running: &Running| running.abort.is_none();
+                let waits = |running: &ReceivedAttempt| running.abort.is_none();
                 if self.running.borrow().get(&request).is_some_and(waits) {
                     self.forget_running(request);
                 }
@@ -170,7 +170,8 @@
                 lost.into_iter().for_each(|(_, attempt)| attempt.end());
             }
             After::Lost(peer) => {
-                let waits = |running: &Running| running.abort.is_none() && running.peer == peer;
+                let waits =
+                    |running: &ReceivedAttempt| running.abort.is_none() && running.peer == peer;
                 let mut running = self.running.borrow_mut();
                 running.retain(|_, running| !waits(running));
             }
@@ -193,7 +194,7 @@
     }
 }
 
-impl Attempt {
+impl SentAttempt {
     /// Nothing more comes or goes. A body that is not whole was cut.
     pub(crate) fn end(&self) {
         self.inlet.cut();
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -3,7 +3,7 @@
 use crate::{
     carrier::{
         Carrier,
-        Running, //
+        ReceivedAttempt, //
     },
     clock::{
         Clock,
@@ -131,7 +131,12 @@
         self.recorder.record(now, &self.name(pending, call), &event);
     }
 
-    pub(crate) fn record_started(&self, now: Time, attempt: id::Request, running: &Running) {
+    pub(crate) fn record_started(
+        &self,
+        now: Time,
+        attempt: id::Request,
+        running: &ReceivedAttempt,
+    ) {
         let event = Event::Started {
             attempt,
             peer: &running.peer,
