--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -105,7 +105,7 @@
             );
         }
         if matches!(verdict, Verdict::Changed | Verdict::Same) {
-            self.refusals.set(0);
+            self.connect_failures.set(0);
             *self.target.borrow_mut() = name;
             if let Some(life) = life {
                 self.on(Event::UpstreamStarted(life));
@@ -122,7 +122,7 @@
 
     /// Tells the decisions whether the service takes requests, if that is new.
     fn believe(&self, ready: bool) {
-        if self.taking.replace(ready) != ready {
+        if self.reported_ready.replace(ready) != ready {
             self.on(Event::UpstreamReady(ready));
         }
     }
@@ -131,14 +131,14 @@
     pub(crate) fn update_upstream_liveness(&self, end: End) {
         match end {
             End::Answered(_) | End::Rejected => {
-                self.refusals.set(0);
+                self.connect_failures.set(0);
                 self.upstream_tracker
                     .borrow_mut()
                     .record_response(Clock.now());
             }
             End::Refused => {
-                let refusals = self.refusals.get() + 1;
-                self.refusals.set(refusals);
+                let refusals = self.connect_failures.get() + 1;
+                self.connect_failures.set(refusals);
                 if refusals == REFUSALS && self.settings().listen.announcements.is_some() {
                     log::warn!("the service accepts no connection; it counts as gone");
                     self.believe(false);
@@ -150,7 +150,7 @@
 
     /// Looks whether the service has been silent for too long.
     pub(crate) fn check_upstream_silence(&self, now: Time) {
-        if self.taking.get() && self.upstream_tracker.borrow().is_silent(now) {
+        if self.reported_ready.get() && self.upstream_tracker.borrow().is_silent(now) {
             log::warn!("nothing was heard of the service; it counts as gone");
             self.believe(false);
         }
--- a/src/process/probe.rs
+++ b/src/process/probe.rs
@@ -63,7 +63,7 @@
             ProbeResult::Unhealthy => detected,
             ProbeResult::Refused => detected && refusals < MAX_REFUSALS,
         };
-        if exists != detected && !carrier.has_left() {
+        if exists != detected && !carrier.is_service_leaving() {
             detected = exists;
             log::info!(found = detected; "the health probe detected a change of the upstream");
             carrier.on(Event::UpstreamReady(detected));
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -482,22 +482,21 @@
             tokio::time::sleep(BUSY_TICK.to_std()).await;
             continue;
         };
-        if carrier.callers.get() >= carrier.limits().connections {
+        if carrier.caller_connections.get() >= carrier.limits().connections {
             carrier.count(Counter::ConnectionLimit);
             continue;
         }
         let _ = stream.set_nodelay(true);
         let (carrier, connections) = (carrier.clone(), connections.clone());
         actix_rt::spawn(async move {
-            carrier.callers.set(carrier.callers.get() + 1);
+            carrier
+                .caller_connections
+                .set(carrier.caller_connections.get() + 1);
             connections.count.set(connections.count.get() + 1);
-            door::serve(
-                carrier.clone(),
-                stream,
-                close_requested(connections.clone()),
-            )
-            .await;
-            carrier.callers.set(carrier.callers.get() - 1);
+            door::serve(carrier.clone(), stream, wait_for_close(connections.clone())).await;
+            carrier
+                .caller_connections
+                .set(carrier.caller_connections.get() - 1);
             connections.count.set(connections.count.get() - 1);
             connections.count_changed.notify_waiters();
         });
@@ -566,7 +565,7 @@
         .client_request_timeout(limits.head_time.to_std())
         .client_disconnect_timeout(FLUSH_TIMEOUT.to_std())
         .h1_allow_half_closed(false)
-        .graceful_shutdown_signal(move || close_requested(closing.clone()))
+        .graceful_shutdown_signal(move || wait_for_close(closing.clone()))
         .h1(fn_service(move |request| {
             let response = handler(request);
             async move { Ok::<_, Infallible>(response.await) }
@@ -601,7 +600,7 @@
 }
 
 /// Waits until the server closes its connections.
-async fn close_requested(connections: Rc<OpenConnections>) {
+async fn wait_for_close(connections: Rc<OpenConnections>) {
     while !connections.closing.get() {
         connections.close_requested.notified().await;
     }
@@ -637,7 +636,7 @@
             let idle_tick = tokio::time::sleep(IDLE_TICK.to_std());
             tokio::select! {
                 () = idle_tick => {}
-                () = carrier.woken.notified() => {}
+                () = carrier.work_arrived.notified() => {}
             }
         }
         carrier.on(Event::Tick);
