--- a/src/connection/caller.rs
+++ b/src/connection/caller.rs
@@ -73,7 +73,7 @@
 
 /// Which listener a request came in by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Side {
+pub(crate) enum ListenerKind {
     /// For callers.
     Callers,
     /// For the service beside the node.
@@ -81,8 +81,12 @@
 }
 
 /// Answers one request.
-pub(crate) async fn serve(carrier: Rc<Carrier>, side: Side, request: Request) -> Response<BoxBody> {
-    if side == Side::Service
+pub(crate) async fn serve(
+    carrier: Rc<Carrier>,
+    side: ListenerKind,
+    request: Request,
+) -> Response<BoxBody> {
+    if side == ListenerKind::Service
         && let Some(response) = announcement(&carrier, &request)
     {
         return response;
@@ -117,7 +121,7 @@
 
 async fn run(
     carrier: &Rc<Carrier>,
-    side: Side,
+    side: ListenerKind,
     mut request: Request,
 ) -> Result<Response<BoxBody>, Code> {
     let limits = carrier.limits();
@@ -136,8 +140,8 @@
     let names = &carrier.interface.names;
     let mut passing = header::strip(headers, names);
     let origin = match side {
-        Side::Callers => Origin::Caller(header::take_key(&mut passing, headers, names)),
-        Side::Service => Origin::Service(header::token(headers, names)),
+        ListenerKind::Callers => Origin::Caller(header::take_key(&mut passing, headers, names)),
+        ListenerKind::Service => Origin::Service(header::token(headers, names)),
     };
     let host = host(&request)?;
     let path = request.path().to_owned();
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -41,7 +41,7 @@
     connection::{
         caller::{
             self,
-            Side, //
+            ListenerKind, //
         },
         door,
     },
@@ -241,7 +241,10 @@
         } = listeners;
         match service {
             Some(service) => {
-                for (listener, side) in [(callers, Side::Callers), (service, Side::Service)] {
+                for (listener, side) in [
+                    (callers, ListenerKind::Callers),
+                    (service, ListenerKind::Service),
+                ] {
                     let serving = carrier.clone();
                     let answer = move |request| caller::serve(serving.clone(), side, request);
                     let task = http(carrier.clone(), self.doors.clone(), listener, answer);
