--- a/src/connection/caller.rs
+++ b/src/connection/caller.rs
@@ -1,8 +1,8 @@
-//! Requests of callers and of the service beside the node, as they arrive.
+//! Handles HTTP requests of callers and of the service next to the node.
 //!
-//! actix-http reads the heads and frames the bodies, so what it does not
-//! understand never gets here. This module decides what of a request passes
-//! on, how much of its body is held, and how the answer is written.
+//! actix-http parses the heads and the body framing, so requests that it rejects
+//! never get here. This module decides which parts of a request are forwarded,
+//! how much of its body is buffered, and how the response is written.
 
 use std::{
     pin::Pin,
@@ -65,33 +65,34 @@
     record::Claim,
 };
 
-/// The largest body that is held without need, so that it can be sent again.
-pub(crate) const HELD_LIMIT: u64 = 64 << 10;
+/// The largest body in bytes that is buffered even without an idempotency key, so
+/// that the request can be retried. Also the body limit where no route matches.
+pub(crate) const DEFAULT_BUFFER_LIMIT: u64 = 64 << 10;
 
-/// The longest `Idempotency-Key`, in bytes.
-const CLAIM_LIMIT: usize = 256;
+/// Maximum length of an `Idempotency-Key`, in bytes.
+const MAX_IDEMPOTENCY_KEY: usize = 256;
 
-/// Which listener a request came in by.
+/// The listener on which a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerKind {
-    /// For callers.
+    /// The listener for callers.
     Callers,
-    /// For the service beside the node.
+    /// The listener for the service next to the node.
     Service,
 }
 
-/// Answers one request.
+/// Handles one request and returns its response.
 pub(crate) async fn serve(
     carrier: Rc<Carrier>,
-    side: ListenerKind,
+    listener: ListenerKind,
     request: Request,
 ) -> Response<BoxBody> {
-    if side == ListenerKind::Service
-        && let Some(response) = announcement(&carrier, &request)
+    if listener == ListenerKind::Service
+        && let Some(response) = handle_announcement(&carrier, &request)
     {
         return response;
     }
-    let mut response = match run(&carrier, side, request).await {
+    let mut response = match forward(&carrier, listener, request).await {
         Ok(response) => response,
         Err(code) => {
             carrier.count(Counter::Refused(code));
@@ -105,8 +106,9 @@
     response
 }
 
-/// The service tells that it takes requests, or that it leaves.
-fn announcement(carrier: &Rc<Carrier>, request: &Request) -> Option<Response<BoxBody>> {
+/// Handles `POST /announce` and `POST /leave`, with which the service reports that
+/// it accepts requests or no longer does. Returns `None` for other requests.
+fn handle_announcement(carrier: &Rc<Carrier>, request: &Request) -> Option<Response<BoxBody>> {
     let ready = match request.path() {
         "/announce" => true,
         "/leave" => false,
@@ -119,9 +121,9 @@
     Some(Response::new(StatusCode::NO_CONTENT).set_body(BoxBody::new(())))
 }
 
-async fn run(
+async fn forward(
     carrier: &Rc<Carrier>,
-    side: ListenerKind,
+    listener: ListenerKind,
     mut request: Request,
 ) -> Result<Response<BoxBody>, Code> {
     let limits = carrier.limits();
@@ -129,8 +131,8 @@
     if request.upgrade() || headers.contains_key("upgrade") || request.method() == "CONNECT" {
         return Err(Code::UpgradeRefused);
     }
-    // To the old version, an answer of unknown length ends with its connection,
-    // so a cut one would look whole.
+    // In HTTP/1.0, a response of unknown length is delimited by the close of the
+    // connection, so a truncated one would look complete.
     if request.version() < Version::HTTP_11 {
         return Err(Code::Malformed);
     }
@@ -138,9 +140,11 @@
         return Err(Code::HeadersTooLarge);
     }
     let names = &carrier.interface.names;
-    let mut passing = header::strip(headers, names);
-    let origin = match side {
-        ListenerKind::Callers => Origin::Caller(header::take_key(&mut passing, headers, names)),
+    let mut forwarded_headers = header::strip(headers, names);
+    let origin = match listener {
+        ListenerKind::Callers => {
+            Origin::Caller(header::take_key(&mut forwarded_headers, headers, names))
+        }
         ListenerKind::Service => Origin::Service(header::token(headers, names)),
     };
     let host = host(&request)?;
@@ -151,36 +155,36 @@
     if declared_length.is_some_and(|length| length > limit) {
         return Err(Code::BodyTooLarge);
     }
-    let key = claim_key(&request)?;
+    let key = idempotency_key(&request)?;
     let target = request.uri().path_and_query();
     let mut head = Head {
         target: target.map_or("/", |target| target.as_str()).to_owned(),
         method,
-        headers: passing,
+        headers: forwarded_headers,
         length: declared_length,
         ..Head::default()
     };
     let payload = request.take_payload();
-    let hold = match key {
+    let buffer_limit = match key {
         Some(_) => limit,
-        None => HELD_LIMIT.min(limit),
+        None => DEFAULT_BUFFER_LIMIT.min(limit),
     };
     let source = match declared_length {
-        Some(length) if length > hold => Source::Stream {
+        Some(length) if length > buffer_limit => Source::Stream {
             prefix: Bytes::new(),
             rest: Some(payload),
             limit,
         },
-        _ => hold_body(payload, hold, limit, limits.body_time).await?,
+        _ => buffer_body(payload, buffer_limit, limit, limits.body_time).await?,
     };
-    let held = match &source {
+    let buffered = match &source {
         Source::Buffered(bytes) => {
             head.length = Some(bytes.len() as u64);
             Some(bytes.clone())
         }
         Source::Stream { .. } => None,
     };
-    let claim = match (key, &held) {
+    let claim = match (key, &buffered) {
         (Some(_), None) => return Err(Code::BodyTooLarge),
         (Some(key), Some(body)) => Some(Claim {
             key,
@@ -188,7 +192,7 @@
         }),
         (None, _) => None,
     };
-    let (reply, answered) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     let is_head = head.method == "HEAD";
     let call = carrier.next_call();
     let event = Call {
@@ -198,35 +202,36 @@
         method: head.method.clone(),
         path,
         claim,
-        replayable: held.is_some(),
+        replayable: buffered.is_some(),
         left: None,
         connection: id::Connection::default(),
     };
     let pending = Pending::new(Clock.now(), reply, head, source, names);
     let guard = carrier.begin(call, pending);
     carrier.on(Event::Call(event));
-    match answered.await {
-        Ok(Reply::Answer(head, inlet)) => Ok(answer(&head, is_head, inlet, guard)),
-        Ok(Reply::Refuse(code, wait)) => Ok(refused(code, wait, held.is_some())),
+    match reply_receiver.await {
+        Ok(Reply::Answer(head, inlet)) => Ok(build_response(&head, is_head, inlet, guard)),
+        Ok(Reply::Refuse(code, wait)) => Ok(refusal_response(code, wait, buffered.is_some())),
         Err(_) => Err(Code::LinkLost),
     }
 }
 
-/// A refusal that the decisions made, which they counted. Its connection goes
-/// on only when nothing of the request's body is left in it.
-fn refused(code: Code, wait: Option<Span>, read: bool) -> Response<BoxBody> {
-    match read {
+/// The response for a refusal by the node, which has already counted it. The
+/// connection is kept open only if the request body was read completely.
+fn refusal_response(code: Code, wait: Option<Span>, body_read: bool) -> Response<BoxBody> {
+    match body_read {
         true => refusal::response(code, wait),
         false => refusal::last(code, wait),
     }
 }
 
-/// The host that the request names, which has to be one only.
+/// The requested host in lower case, without its port. Missing, conflicting or repeated
+/// hosts are malformed.
 pub(crate) fn host(request: &Request) -> Result<String, Code> {
-    let mut named = request.headers().get_all("host");
-    let header = named.next().map(HeaderValue::to_str).transpose();
+    let mut host_headers = request.headers().get_all("host");
+    let header = host_headers.next().map(HeaderValue::to_str).transpose();
     let header = header.map_err(|_| Code::Malformed)?;
-    if named.next().is_some() {
+    if host_headers.next().is_some() {
         return Err(Code::Malformed);
     }
     let authority = request
@@ -247,8 +252,8 @@
     }
 }
 
-/// The body's length, where the request tells it. The library has refused
-/// lengths that contradict each other.
+/// The body length that the request declares; `None` with a transfer encoding.
+/// actix-http has already rejected contradictory lengths.
 pub(crate) fn declared_length(request: &Request) -> Result<Option<u64>, Code> {
     if request.headers().contains_key("transfer-encoding") {
         return Ok(None);
@@ -262,17 +267,18 @@
     }
 }
 
-fn claim_key(request: &Request) -> Result<Option<String>, Code> {
+fn idempotency_key(request: &Request) -> Result<Option<String>, Code> {
     let mut values = request.headers().get_all("idempotency-key");
     let Some(value) = values.next() else {
         return Ok(None);
     };
     let text = value.to_str().map_err(|_| Code::Malformed)?.trim();
-    let fits = !text.is_empty() && text.len() <= CLAIM_LIMIT && values.next().is_none();
+    let fits = !text.is_empty() && text.len() <= MAX_IDEMPOTENCY_KEY && values.next().is_none();
     fits.then(|| Some(text.to_owned())).ok_or(Code::Malformed)
 }
 
-/// A checksum of everything that makes two requests the same.
+/// A hash of the method, target and body, by which two requests with the same
+/// idempotency key are compared.
 fn fingerprint(head: &Head, body: &[u8]) -> u64 {
     let mut sum = Xxh3Default::new();
     for part in [head.method.as_bytes(), head.target.as_bytes(), body] {
@@ -282,26 +288,27 @@
     sum.digest()
 }
 
-/// Reads a body until its end, or until it is larger than is held.
-async fn hold_body(
+/// Reads a body until its end, or until it exceeds `buffer_limit`. In that case
+/// the rest is streamed.
+async fn buffer_body(
     mut payload: Payload,
-    hold: u64,
+    buffer_limit: u64,
     limit: u64,
-    patience: Span,
+    chunk_timeout: Span,
 ) -> Result<Source, Code> {
-    let mut held = BytesMut::new();
+    let mut buffered = BytesMut::new();
     loop {
-        let next = tokio::time::timeout(patience.to_std(), payload.next());
+        let next = tokio::time::timeout(chunk_timeout.to_std(), payload.next());
         match next.await.map_err(|_| Code::CallerSlow)? {
-            None => return Ok(Source::Buffered(held.freeze())),
-            Some(chunk) => held.extend_from_slice(&chunk.map_err(|_| Code::Malformed)?),
+            None => return Ok(Source::Buffered(buffered.freeze())),
+            Some(chunk) => buffered.extend_from_slice(&chunk.map_err(|_| Code::Malformed)?),
         }
-        if held.len() as u64 > limit {
+        if buffered.len() as u64 > limit {
             return Err(Code::BodyTooLarge);
         }
-        if held.len() as u64 > hold {
+        if buffered.len() as u64 > buffer_limit {
             return Ok(Source::Stream {
-                prefix: held.freeze(),
+                prefix: buffered.freeze(),
                 rest: Some(payload),
                 limit,
             });
@@ -309,8 +316,8 @@
     }
 }
 
-/// The answer of an upstream, as it is written to the caller.
-fn answer(head: &Head, is_head: bool, inlet: Rc<Inlet>, guard: Guard) -> Response<BoxBody> {
+/// Converts an upstream's response into the one for the caller.
+fn build_response(head: &Head, is_head: bool, inlet: Rc<Inlet>, guard: Guard) -> Response<BoxBody> {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let bodiless = matches!(head.status, 204 | 304);
     let size = match head.length {
@@ -319,8 +326,8 @@
         None if is_head => BodySize::None,
         None => BodySize::Stream,
     };
-    let relay = Relay { inlet, size, guard };
-    let mut response = Response::with_body(status, BoxBody::new(relay));
+    let relayed_body = RelayedBody { inlet, size, guard };
+    let mut response = Response::with_body(status, BoxBody::new(relayed_body));
     for (name, value) in &head.headers {
         let name = HeaderName::try_from(name.as_str());
         let value = HeaderValue::from_maybe_shared(value.clone());
@@ -331,15 +338,15 @@
     response
 }
 
-/// An answer's body on its way to the caller. An error closes the connection
-/// before the end mark, so the caller sees that the answer is not whole.
-struct Relay {
+/// A response body that is streamed to the caller. An error closes the connection
+/// before the end of the body, so the caller sees that the response is truncated.
+struct RelayedBody {
     inlet: Rc<Inlet>,
     size: BodySize,
     guard: Guard,
 }
 
-impl MessageBody for Relay {
+impl MessageBody for RelayedBody {
     type Error = Cut;
 
     fn size(&self) -> BodySize {
@@ -359,19 +366,21 @@
 }
 
 impl Carrier {
-    /// The largest body of the route that matches.
+    /// The body limit of the matching route, or the default without one.
     fn body_limit(&self, host: &str, method: &str, path: &str) -> u64 {
-        self.route_limit(host, method, path).unwrap_or(HELD_LIMIT)
+        self.route_limit(host, method, path)
+            .unwrap_or(DEFAULT_BUFFER_LIMIT)
     }
 
-    /// The same, if there is such a route.
+    /// The body limit of the matching route, if there is one.
     pub(crate) fn route_limit(&self, host: &str, method: &str, path: &str) -> Option<u64> {
         let core = self.core();
         let route = core.snapshot().tables.route(host, method, path)?;
         Some(route.body.as_u64())
     }
 
-    /// What callers may do: as the configuration says, else the settings.
+    /// Limits on caller connections: from the configuration if it has them, else
+    /// from the node's settings.
     pub(crate) fn caller_limits(&self) -> door::Limits {
         let own = self.limits();
         let callers = self.core().snapshot().callers;
@@ -383,7 +392,7 @@
         }
     }
 
-    /// A number for the next call.
+    /// Allocates the id of the next call.
     pub(crate) fn next_call(&self) -> id::Call {
         id::Call(self.next_number())
     }
