--- a/src/connection/caller.rs
+++ b/src/connection/caller.rs
@@ -225,8 +225,8 @@
     }
 }
 
-/// The requested host in lower case, without its port. Missing, conflicting or repeated
-/// hosts are malformed.
+/// The requested host in lower case, without its port. Missing, conflicting or
+/// repeated hosts are malformed.
 pub(crate) fn host(request: &Request) -> Result<String, Code> {
     let mut host_headers = request.headers().get_all("host");
     let header = host_headers.next().map(HeaderValue::to_str).transpose();
--- a/src/connection/upstream.rs
+++ b/src/connection/upstream.rs
@@ -215,9 +215,7 @@
         let empty = framed && codec.message_type() == h1::MessageType::None;
         let reuse = sent && framed && codec.keep_alive();
         let idle_timeout = keep_alive_timeout(answer.headers())
-            .map_or(self.idle_timeout, |idle_timeout| {
-                idle_timeout.min(self.idle_timeout)
-            });
+            .map_or(self.idle_timeout, |timeout| timeout.min(self.idle_timeout));
         let length = content_length(&answer).filter(|_| framed);
         let head = Head {
             status: answer.status.as_u16(),
