--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -220,8 +220,9 @@
     buffered: BytesMut,
     body_sender: Option<BodySender>,
     buffer_limit: u64,
-    limit: u64,
-    length: u64,
+    body_limit: u64,
+    /// Bytes of the body received so far.
+    received: u64,
 }
 
 async fn read(
@@ -341,8 +342,8 @@
         },
         h1::Message::Chunk(Some(bytes)) => {
             let body = incoming.as_mut()?;
-            body.length += bytes.len() as u64;
-            if body.length > body.limit && body.body_sender.is_none() {
+            body.received += bytes.len() as u64;
+            if body.received > body.body_limit && body.body_sender.is_none() {
                 return Some(Code::BodyTooLarge);
             }
             match &mut body.body_sender {
@@ -351,7 +352,7 @@
                 }
                 None => body.buffered.extend_from_slice(&bytes),
             }
-            if body.body_sender.is_none() && body.length > body.buffer_limit {
+            if body.body_sender.is_none() && body.received > body.buffer_limit {
                 let (body_sender, chunks) = mpsc::channel(BODY_CHANNEL_CAPACITY);
                 body.body_sender = Some(body_sender);
                 let chunks = stream::unfold(chunks, async |mut chunks| {
@@ -361,7 +362,7 @@
                 let source = Source::Stream {
                     prefix: body.buffered.split().freeze(),
                     rest: Some(payload.into()),
-                    limit: body.limit,
+                    limit: body.body_limit,
                 };
                 return dispatch(shared, &body.request, source).err();
             }
@@ -404,9 +405,9 @@
     // Without a route there is no body limit: a node without a configuration must
     // not report a body as too large. Such a request is refused for its missing
     // route once it is dispatched, after the buffered part of its body.
-    let limit = carrier.route_limit(&host, request.method().as_str(), request.path());
-    let limit = limit.unwrap_or(u64::MAX);
-    if declared_length.is_some_and(|length| length > limit) {
+    let body_limit = carrier.route_limit(&host, request.method().as_str(), request.path());
+    let body_limit = body_limit.unwrap_or(u64::MAX);
+    if declared_length.is_some_and(|length| length > body_limit) {
         return Err(Code::BodyTooLarge);
     }
     if headers.contains_key("expect") {
@@ -417,13 +418,13 @@
             close: false,
         });
     }
-    let buffer_limit = carrier.interface.held_body.as_u64().min(limit);
+    let buffer_limit = carrier.interface.held_body.as_u64().min(body_limit);
     Ok(Some(Incoming {
         buffered: BytesMut::with_capacity(declared_length.unwrap_or(0).min(buffer_limit) as usize),
         body_sender: None,
         buffer_limit,
-        limit,
-        length: 0,
+        body_limit,
+        received: 0,
         request,
     }))
 }
