--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -41,7 +41,7 @@
     connection::{
         caller::{
             self,
-            Side, //
+            ListenerKind, //
         },
         door,
     },
@@ -245,7 +245,10 @@
         } = listeners;
         match service {
             Some(service) => {
-                for (listener, side) in [(callers, Side::Callers), (service, Side::Service)] {
+                for (listener, side) in [
+                    (callers, ListenerKind::Callers),
+                    (service, ListenerKind::Service),
+                ] {
                     let handler_carrier = carrier.clone();
                     let handler =
                         move |request| caller::serve(handler_carrier.clone(), side, request);
