--- a/src/process/announce.rs
+++ b/src/process/announce.rs
@@ -1,9 +1,10 @@
-//! What the service beside a node says of itself, and which of its words count.
+//! Announcements of the upstream beside a node, and the state derived from them.
 //!
-//! Words may come late, doubled or out of order, from an earlier life of the
-//! service, or from another writer altogether. The [`UpstreamTracker`] goes by the
-//! life first and by the place in that life second. A service that has left
-//! stays gone for that life, so that no late word brings it back.
+//! Announcements may arrive late, duplicated or out of order, from an earlier life
+//! of the upstream, or from a different service. The [`UpstreamTracker`] orders
+//! them by life (one run of the upstream) and then by sequence number. Once an
+//! upstream has announced [`State::Gone`], it stays gone for that life, so a
+//! delayed announcement can't make it ready again.
 
 use std::net::SocketAddr;
 
@@ -24,244 +25,275 @@
     interface::Notice, //
 };
 
-/// Silence after which a service counts as gone, in its own heartbeats. Words
-/// may be a few heartbeats late, and a refused connection tells sooner.
-const SILENT_HEARTBEATS: u64 = 4;
+/// Number of heartbeat intervals without a sign of life after which an upstream
+/// counts as silent. Announcements may be a few heartbeats late, and a refused
+/// connection reveals a failure earlier.
+const MAX_SILENT_HEARTBEATS: u64 = 4;
 
-/// Words of a life that only a service which has just begun sends.
-const FIRST_WORDS: u64 = 3;
+/// Highest sequence number at which an announcement is taken to come from an
+/// upstream that has just started.
+const MAX_INITIAL_SEQUENCE: u64 = 3;
 
-/// What a service says that it does.
+/// State that an upstream announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what runs and takes nothing new.
+    /// It finishes running requests and accepts no new ones.
     Draining,
-    /// It will end, and says nothing more.
+    /// It is about to exit. This is the last announcement of its life.
     Gone,
 }
 
-/// One announcement.
+/// An announcement of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The name that the service gives itself.
+    /// The name that the upstream gives itself.
     pub upstream: String,
-    /// When this life of it began, by its own clock; a later life is higher.
+    /// Start time of this life by the upstream's own clock. A later life has a higher
+    /// value.
     #[serde(default)]
     pub life: Option<u64>,
-    /// The place of the word in that life.
+    /// Sequence number of the announcement within the life.
     #[serde(default)]
     pub sequence: Option<u64>,
-    /// What it does.
+    /// The announced state.
     pub state: State,
-    /// The pool it belongs to, where it says so.
+    /// The pool that it belongs to, if announced.
     #[serde(default)]
     pub pool: Option<id::Pool>,
-    /// Where it listens, where it says so.
+    /// The address that it listens on, if announced.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// Requests that it runs at a time, where it says so.
+    /// Maximum number of concurrent requests, if announced.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time, during which it is slow after its start.
     #[serde(default)]
     pub warmup: Span,
 }
 
 impl Announcement {
-    /// Reads the product's own form.
+    /// Parses an announcement in this project's own JSON format.
     ///
     /// # Errors
     ///
-    /// When the body is no announcement.
+    /// Returns an error if the body is not a valid announcement.
     pub fn read(notice: Notice<'_>) -> Result<Self> {
         serde_json::from_slice(notice.body)
             .map_err(|error| Error::new(Code::Field, error.to_string()))
     }
 }
 
-/// What became of a word.
+/// Result of handling an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It counts, and changed what is believed.
+    /// It was accepted and changed the known state or number of slots.
     Changed,
-    /// It counts, and said nothing new.
+    /// It was accepted and changed neither the state nor the number of slots.
     Same,
-    /// It is older than what is known; it is acknowledged and changes nothing.
+    /// It is outdated: it is acknowledged and ignored.
     Old,
-    /// It speaks of a service that is not the one beside this node.
+    /// It concerns a service other than the upstream beside this node.
     Foreign,
 }
 
-/// The service as this node believes it to be.
+/// Last known state of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its name for itself.
+    /// The name that the upstream gives itself.
     pub name: String,
-    /// Its life.
+    /// Its current life, see [`Announcement::life`].
     pub life: u64,
-    /// The last place in that life.
+    /// The last sequence number accepted in that life.
     pub sequence: u64,
-    /// What it does.
+    /// The state that it announced last.
     pub state: State,
-    /// Requests that it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: Option<u32>,
-    /// How much longer it is slow.
+    /// Remaining warm-up time when it made its last announcement.
     pub warmup: Span,
 }
 
-/// Judges the words of the service beside a node.
+/// Tracks the state of the upstream beside a node from its announcements and
+/// responses.
 #[derive(Clone, Debug)]
 pub struct UpstreamTracker {
     pool: id::Pool,
     address: SocketAddr,
     heartbeat: Span,
     upstream: Option<Upstream>,
-    /// The last word of a service of which nothing else is known.
-    left: Option<Announcement>,
-    heard: Time,
+    /// The [`State::Gone`] announcement of an upstream of which no other announcement
+    /// was accepted.
+    last_gone: Option<Announcement>,
+    last_heard: Time,
 }
 
 impl Upstream {
-    /// What tells this life of it from all others.
+    /// Returns an identifier of this upstream in this life.
     pub fn id(&self) -> id::Upstream {
         id::Upstream(xxh3_64_with_seed(self.name.as_bytes(), self.life))
     }
 }
 
 impl UpstreamTracker {
-    /// An upstream_tracker for the service at this address.
+    /// Creates a tracker for the upstream at this address.
     pub fn new(pool: id::Pool, address: SocketAddr, heartbeat: Span) -> Self {
         Self {
             pool,
             address,
             heartbeat,
             upstream: None,
-            left: None,
-            heard: Time::ZERO,
+            last_gone: None,
+            last_heard: Time::ZERO,
         }
     }
 
-    /// The time between two words of the service, from now on.
+    /// Sets the expected interval between two announcements.
     pub fn set_heartbeat(&mut self, heartbeat: Span) {
         self.heartbeat = heartbeat;
     }
 
-    /// The service, once it has spoken.
+    /// Returns the known state, or `None` before the first accepted announcement.
     pub fn upstream(&self) -> Option<&Upstream> {
         self.upstream.as_ref()
     }
 
-    /// Whether it takes requests.
+    /// Reports whether the upstream accepts requests.
     pub fn is_ready(&self) -> bool {
         self.upstream
             .as_ref()
             .is_some_and(|upstream| upstream.state == State::Ready)
     }
 
-    /// Takes a word.
-    pub fn handle(&mut self, now: Time, word: &Announcement) -> Verdict {
-        let foreign_pool = word.pool.as_ref().is_some_and(|pool| *pool != self.pool);
-        let foreign_place = word.address.is_some_and(|address| address != self.address);
-        if foreign_pool || foreign_place {
+    /// Handles an announcement.
+    pub fn handle(&mut self, now: Time, announcement: &Announcement) -> Verdict {
+        let foreign_pool = announcement
+            .pool
+            .as_ref()
+            .is_some_and(|pool| *pool != self.pool);
+        let foreign_address = announcement
+            .address
+            .is_some_and(|address| address != self.address);
+        if foreign_pool || foreign_address {
             return Verdict::Foreign;
         }
         match &self.upstream {
-            None if word.state == State::Gone => {
-                self.left = Some(word.clone());
+            None if announcement.state == State::Gone => {
+                self.last_gone = Some(announcement.clone());
                 Verdict::Old
             }
-            None if self.has_left(word) => Verdict::Old,
-            None => self.believe(now, word, None),
+            None if self.is_of_ended_life(announcement) => Verdict::Old,
+            None => self.accept(now, announcement, None),
             Some(known) => {
                 let known = known.clone();
-                self.compare(now, word, &known)
+                self.handle_known(now, announcement, &known)
             }
         }
     }
 
-    /// Whether a word is of a life that has left.
+    /// Reports whether an announcement belongs to a life that has ended.
     ///
-    /// Guards against a node that begins just as its service leaves: the first
-    /// word that it hears is the last one of the service, and a heartbeat that was
-    /// delayed comes after it. Believing that would send requests to a service
-    /// whose leaving was acknowledged. Where the last word names no life, only the
-    /// first words of a life are of a later one.
-    fn has_left(&self, word: &Announcement) -> bool {
-        let Some(left) = self.left.as_ref().filter(|l| l.upstream == word.upstream) else {
+    /// If a node starts just as its upstream leaves, the first announcement that it
+    /// receives is the upstream's last one, and a delayed heartbeat may follow.
+    /// Accepting the heartbeat would send requests to an upstream whose departure
+    /// was acknowledged. If either of the two announcements names no life, only one
+    /// with a low or no sequence number is taken to be of a later life.
+    fn is_of_ended_life(&self, announcement: &Announcement) -> bool {
+        let Some(gone) = self
+            .last_gone
+            .as_ref()
+            .filter(|gone| gone.upstream == announcement.upstream)
+        else {
             return false;
         };
-        match (left.life, word.life) {
-            (Some(left), Some(life)) => life <= left,
-            _ => word.sequence.is_some_and(|place| place > FIRST_WORDS),
+        match (gone.life, announcement.life) {
+            (Some(gone_life), Some(life)) => life <= gone_life,
+            _ => announcement
+                .sequence
+                .is_some_and(|sequence| sequence > MAX_INITIAL_SEQUENCE),
         }
     }
 
-    fn compare(&mut self, now: Time, word: &Announcement, known: &Upstream) -> Verdict {
-        let life = word.life.unwrap_or(known.life);
+    fn handle_known(
+        &mut self,
+        now: Time,
+        announcement: &Announcement,
+        known: &Upstream,
+    ) -> Verdict {
+        let life = announcement.life.unwrap_or(known.life);
         if life < known.life {
             return Verdict::Old;
         }
         if life > known.life {
-            // A later life that leaves before it was ever heard leaves nobody.
-            return self.believe(now, word, None);
+            // A later life replaces the known one whatever its state, also if its first
+            // announcement received is `Gone`.
+            return self.accept(now, announcement, None);
         }
-        // The service may have begun twice in one tick of its clock; the name
-        // then tells the lives apart, and the words of the other are old.
-        if word.upstream != known.name && word.state == State::Gone {
+        // The upstream may have started twice within one tick of its clock. The name
+        // then distinguishes the lives, and `Gone` of the other one is outdated.
+        if announcement.upstream != known.name && announcement.state == State::Gone {
             return Verdict::Old;
         }
-        if word.upstream != known.name {
-            return self.believe(now, word, None);
+        if announcement.upstream != known.name {
+            return self.accept(now, announcement, None);
         }
-        // It has said its last word in this life; whatever comes is late.
+        // `Gone` is the last announcement of a life; any other one is delayed.
         if known.state == State::Gone {
             return Verdict::Old;
         }
-        let old = word
+        let is_outdated = announcement
             .sequence
             .is_some_and(|sequence| sequence <= known.sequence);
-        match old {
+        match is_outdated {
             true => Verdict::Old,
-            false => self.believe(now, word, Some(known)),
+            false => self.accept(now, announcement, Some(known)),
         }
     }
 
-    fn believe(&mut self, now: Time, word: &Announcement, before: Option<&Upstream>) -> Verdict {
+    fn accept(
+        &mut self,
+        now: Time,
+        announcement: &Announcement,
+        previous: Option<&Upstream>,
+    ) -> Verdict {
         let upstream = Upstream {
-            name: word.upstream.clone(),
-            life: word.life.or(before.map(|b| b.life)).unwrap_or_default(),
-            sequence: word
+            name: announcement.upstream.clone(),
+            life: announcement
+                .life
+                .or(previous.map(|p| p.life))
+                .unwrap_or_default(),
+            sequence: announcement
                 .sequence
-                .or(before.map(|b| b.sequence))
+                .or(previous.map(|p| p.sequence))
                 .unwrap_or_default(),
-            state: word.state,
-            slots: word.slots.or(before.and_then(|b| b.slots)),
-            warmup: word.warmup,
+            state: announcement.state,
+            slots: announcement.slots.or(previous.and_then(|p| p.slots)),
+            warmup: announcement.warmup,
         };
-        self.heard = now;
-        let same = before
-            .is_some_and(|before| before.state == upstream.state && before.slots == upstream.slots);
+        self.last_heard = now;
+        let is_same = previous.is_some_and(|previous| {
+            previous.state == upstream.state && previous.slots == upstream.slots
+        });
         self.upstream = Some(upstream);
-        match same {
+        match is_same {
             true => Verdict::Same,
             false => Verdict::Changed,
         }
     }
 
-    /// Notes that the service answered a request: it lives, whatever became of
-    /// its words.
+    /// Records that the upstream responded to a request. It is alive then, even if
+    /// its announcements were lost.
     pub fn record_response(&mut self, now: Time) {
-        self.heard = self.heard.max(now);
+        self.last_heard = self.last_heard.max(now);
     }
 
-    /// Whether nothing was heard of a ready service for too long. It then
-    /// counts as silent until its next word.
+    /// Reports whether a ready upstream has given no sign of life for too long. The
+    /// caller then treats it as gone until its next announcement.
     pub fn is_silent(&self, now: Time) -> bool {
-        let limit = Span::from_ms(self.heartbeat.as_ms() * SILENT_HEARTBEATS);
-        self.is_ready() && now.since(self.heard) > limit
+        let limit = Span::from_ms(self.heartbeat.as_ms() * MAX_SILENT_HEARTBEATS);
+        self.is_ready() && now.since(self.last_heard) > limit
     }
 }
--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -1,4 +1,4 @@
-//! The service beside a node: what it announces, and when it counts as gone.
+//! The upstream beside a node: receives its announcements and detects its failure.
 
 use std::rc::Rc;
 
@@ -28,29 +28,33 @@
     node::Event,
 };
 
-/// The largest announcement, in bytes.
-const LIMIT: usize = 64 << 10;
-/// Time for an announcement to arrive.
-const TIMEOUT: Span = Span::from_secs(1);
-/// Refused connections in a row after which a service counts as gone until its
-/// next word. One may be refused because there are too many.
-const REFUSALS: u32 = 2;
+/// Maximum size of an announcement in bytes.
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 << 10;
+/// Maximum time for the body of an announcement to arrive.
+const READ_TIMEOUT: Span = Span::from_secs(1);
+/// Number of consecutive refused connections after which an upstream counts as gone
+/// until its next announcement. A single one may be refused because the upstream has
+/// too many connections.
+const MAX_CONSECUTIVE_REFUSALS: u32 = 2;
 
-/// Answers on the listener for announcements.
+/// Handles a request on the announcement listener.
 pub(crate) async fn serve(carrier: Rc<Carrier>, mut request: Request) -> Response<BoxBody> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
-    let read = async {
+    let read_body = async {
         while let Some(Ok(chunk)) = payload.next().await {
             body.extend_from_slice(&chunk);
-            if body.len() > LIMIT {
+            if body.len() > MAX_ANNOUNCEMENT_BYTES {
                 return false;
             }
         }
         true
     };
-    if !matches!(tokio::time::timeout(TIMEOUT.to_std(), read).await, Ok(true)) {
-        return empty(StatusCode::BAD_REQUEST);
+    if !matches!(
+        tokio::time::timeout(READ_TIMEOUT.to_std(), read_body).await,
+        Ok(true)
+    ) {
+        return empty_response(StatusCode::BAD_REQUEST);
     }
     let notice = Notice {
         method: request.method().as_str(),
@@ -58,17 +62,17 @@
         body: &body,
     };
     match (carrier.interface.announcement)(notice) {
-        Ok(word) => judge(&carrier, &word),
+        Ok(announcement) => respond(&carrier, &announcement),
         Err(error) => {
             log::warn!(path = request.path(); "announcement refused: {}", error.reason());
-            empty(StatusCode::BAD_REQUEST)
+            empty_response(StatusCode::BAD_REQUEST)
         }
     }
 }
 
-fn judge(carrier: &Carrier, word: &Announcement) -> Response<BoxBody> {
-    match carrier.handle_announcement(word) {
-        Verdict::Foreign => empty(StatusCode::NOT_FOUND),
+fn respond(carrier: &Carrier, announcement: &Announcement) -> Response<BoxBody> {
+    match carrier.handle_announcement(announcement) {
+        Verdict::Foreign => empty_response(StatusCode::NOT_FOUND),
         Verdict::Changed | Verdict::Same | Verdict::Old => {
             let mut response = Response::build(StatusCode::OK);
             response.insert_header(("content-type", "application/json"));
@@ -77,16 +81,16 @@
     }
 }
 
-fn empty(status: StatusCode) -> Response<BoxBody> {
+fn empty_response(status: StatusCode) -> Response<BoxBody> {
     Response::new(status).set_body(BoxBody::new(()))
 }
 
 impl Carrier {
-    /// Takes a word of the service.
-    pub(crate) fn handle_announcement(&self, word: &Announcement) -> Verdict {
+    /// Handles an announcement and forwards the resulting state to the decision logic.
+    pub(crate) fn handle_announcement(&self, announcement: &Announcement) -> Verdict {
         let now = Clock.now();
         let mut upstream_tracker = self.upstream_tracker.borrow_mut();
-        let verdict = upstream_tracker.handle(now, word);
+        let verdict = upstream_tracker.handle(now, announcement);
         let ready = upstream_tracker.is_ready();
         let slots = upstream_tracker
             .upstream()
@@ -99,9 +103,9 @@
         drop(upstream_tracker);
         if verdict != Verdict::Same {
             log::info!(
-                upstream = word.upstream, life = word.life.unwrap_or_default(),
-                sequence = word.sequence.unwrap_or_default(), ready = ready;
-                "announcement {verdict:?}: {:?}", word.state
+                upstream = announcement.upstream, life = announcement.life.unwrap_or_default(),
+                sequence = announcement.sequence.unwrap_or_default(), ready = ready;
+                "announcement {verdict:?}: {:?}", announcement.state
             );
         }
         if matches!(verdict, Verdict::Changed | Verdict::Same) {
@@ -112,22 +116,22 @@
             }
             self.on(Event::UpstreamLeaving(!ready));
             self.on(Event::UpstreamCapacity(slots));
-            self.believe(ready);
-            if let Some(left) = warmup {
-                self.on(Event::UpstreamWarmup(left));
+            self.set_upstream_ready(ready);
+            if let Some(remaining) = warmup {
+                self.on(Event::UpstreamWarmup(remaining));
             }
         }
         verdict
     }
 
-    /// Tells the decisions whether the service takes requests, if that is new.
-    fn believe(&self, ready: bool) {
+    /// Tells the decision logic whether the upstream accepts requests, if that changed.
+    fn set_upstream_ready(&self, ready: bool) {
         if self.taking.replace(ready) != ready {
             self.on(Event::UpstreamReady(ready));
         }
     }
 
-    /// Learns from how an attempt at the service ended whether it lives.
+    /// Updates the liveness of the upstream from the outcome of an attempt.
     pub(crate) fn update_upstream_liveness(&self, end: End) {
         match end {
             End::Answered(_) | End::Rejected => {
@@ -139,20 +143,22 @@
             End::Refused => {
                 let refusals = self.refusals.get() + 1;
                 self.refusals.set(refusals);
-                if refusals == REFUSALS && self.settings().listen.announcements.is_some() {
+                if refusals == MAX_CONSECUTIVE_REFUSALS
+                    && self.settings().listen.announcements.is_some()
+                {
                     log::warn!("the service accepts no connection; it counts as gone");
-                    self.believe(false);
+                    self.set_upstream_ready(false);
                 }
             }
             End::Cut | End::Aborted => {}
         }
     }
 
-    /// Looks whether the service has been silent for too long.
+    /// Marks the upstream as not ready if it has been silent for too long.
     pub(crate) fn check_upstream_silence(&self, now: Time) {
         if self.taking.get() && self.upstream_tracker.borrow().is_silent(now) {
             log::warn!("nothing was heard of the service; it counts as gone");
-            self.believe(false);
+            self.set_upstream_ready(false);
         }
     }
 }
