--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -50,8 +50,8 @@
     },
     context::Context,
     event::{
-        Name,
         Recorder, //
+        RequestName,
     },
     frame::{
         Frame,
@@ -105,7 +105,7 @@
     pub(crate) context: Context,
     pub(crate) claimed: bool,
     /// What its lines in the log call it.
-    pub(crate) name: Name,
+    pub(crate) name: RequestName,
     pub(crate) route: id::Route,
     pub(crate) arrived: Time,
     pub(crate) started: Option<Time>,
@@ -376,7 +376,7 @@
     pub(crate) fn finish(&self, call: id::Call) {
         let ended = self.calls.borrow_mut().remove(&call);
         if let Some(pending) = ended.filter(|pending| pending.reply.is_some()) {
-            self.record_gone(&pending, call);
+            self.record_caller_gone(&pending, call);
         }
         self.on(Event::CallerGone(call));
         self.changed.notify_waiters();
@@ -418,7 +418,7 @@
             } => {
                 let head = self.with_call(call, |pending| {
                     pending.attempts = pending.attempts.saturating_add(1);
-                    let name = || Name::new(None, context.root);
+                    let name = || RequestName::new(None, context.root);
                     pending.name.get_or_insert_with(name);
                     pending.head.clone()
                 });
@@ -444,7 +444,7 @@
             Action::Frame(peer, frame) => {
                 match &frame {
                     Frame::Refuse { request, code, .. } => {
-                        self.record_turned(*request, *code);
+                        self.record_turned_away(*request, *code);
                         self.forget_running(*request);
                     }
                     Frame::Finish { request, .. } => self.forget_running(*request),
@@ -626,7 +626,7 @@
         if !news.is_empty() {
             log::info!(
                 counts = news.join(" "), running = load.running, limit = load.limit,
-                waiting = load.waiting, shed_level = load.level, left_out = left_out,
+                waiting = load.waiting, shed_level = load.shed_level, left_out = left_out,
                 dropped = crate::log::dropped();
                 "summary"
             );
--- a/src/process/event.rs
+++ b/src/process/event.rs
@@ -41,9 +41,9 @@
 
 /// A request as its caller names it, else as its nodes do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Name(String);
+pub(crate) struct RequestName(String);
 
-impl Name {
+impl RequestName {
     /// The name of a request whose caller gave it this id, or none.
     pub(crate) fn new(own: Option<&[u8]>, root: impl std::fmt::Display) -> Self {
         let Some(own) = own else {
@@ -56,7 +56,7 @@
 
 /// What a node knew when it decided.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct KnownConfig {
     /// The version of the configuration in force.
     pub(crate) version: id::Version,
     /// The time since that was certainly the newest; none where it never was, or
@@ -75,7 +75,7 @@
         path: &'a str,
         waited: Span,
         attempts: u8,
-        known: Known,
+        config: KnownConfig,
     },
     /// An attempt was sent to an instance.
     Sent {
@@ -84,7 +84,7 @@
         route: &'a id::Route,
         context: &'a Context,
         attempts: u8,
-        known: Known,
+        config: KnownConfig,
     },
     /// An instance told that an attempt ended without an answer.
     Declined {
@@ -135,23 +135,23 @@
     pub(crate) limit: u32,
     pub(crate) waiting: usize,
     /// Importances that are shed, and which part of the next.
-    pub(crate) level: f64,
+    pub(crate) shed_level: f64,
     /// Requests are metered as the upstream is cold, or may be.
     pub(crate) cold: bool,
     /// The limit that the upstream names.
-    pub(crate) named: Option<Rate>,
+    pub(crate) named_limit: Option<Rate>,
 }
 
 impl Load {
     /// The named limit for a line; minus one where there is none.
-    fn named(&self) -> f64 {
-        self.named.map_or(-1.0, Rate::as_f64)
+    fn named_limit_or_minus_one(&self) -> f64 {
+        self.named_limit.map_or(-1.0, Rate::as_f64)
     }
 }
 
 /// How many lines may be written.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct LogBudget {
     /// Lines a second.
     rate: f64,
     /// Lines that may be saved up.
@@ -160,7 +160,7 @@
     at: Time,
 }
 
-impl Budget {
+impl LogBudget {
     /// For lines on failures: a burst of refusals shows whole, a lasting overload
     /// by samples. A line costs about five microseconds and 300 bytes.
     pub const FAILURES: Self = Self::new(100.0, 300.0);
@@ -190,16 +190,16 @@
 /// Writes events within what is allowed.
 #[derive(Debug)]
 pub(crate) struct Recorder {
-    failures: Cell<Budget>,
-    ordinary: Cell<Budget>,
+    failures: Cell<LogBudget>,
+    ordinary: Cell<LogBudget>,
     left_out: Cell<u64>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
         Self {
-            failures: Cell::new(Budget::FAILURES),
-            ordinary: Cell::new(Budget::ORDINARY),
+            failures: Cell::new(LogBudget::FAILURES),
+            ordinary: Cell::new(LogBudget::ORDINARY),
             left_out: Cell::new(0),
         }
     }
@@ -207,7 +207,7 @@
 
 impl Recorder {
     /// Writes an event, or counts it.
-    pub(crate) fn record(&self, now: Time, name: &Name, event: &Event<'_>) {
+    pub(crate) fn record(&self, now: Time, name: &RequestName, event: &Event<'_>) {
         let budget = match event.is_failure() {
             true => &self.failures,
             false => &self.ordinary,
@@ -246,14 +246,14 @@
                 path,
                 waited,
                 attempts,
-                known,
+                config,
             } => {
                 log::info!(
                     id = id, code = *code as u16, reason = code.name(),
                     may_have_run = code.verdict() == Verdict::Unknown, path = path,
                     come_back_ms = wait.map_or(-1, |wait| wait.as_ms() as i64),
-                    waited_ms = waited.as_ms(), attempts = attempts, version = known.version.0,
-                    version_age_ms = age(*known);
+                    waited_ms = waited.as_ms(), attempts = attempts, version = config.version.0,
+                    version_age_ms = age(*config);
                     "refused"
                 );
             }
@@ -263,13 +263,13 @@
                 route,
                 context,
                 attempts,
-                known,
+                config,
             } => {
                 log::info!(
                     id = id, request:% = attempt, peer:% = peer, route:% = route,
                     team:% = context.team, importance:% = context.importance,
                     left_ms = context.left.as_ms(), attempts = attempts,
-                    version = known.version.0, version_age_ms = age(*known);
+                    version = config.version.0, version_age_ms = age(*config);
                     "sent"
                 );
             }
@@ -311,8 +311,8 @@
                     id = id, request:% = attempt, from:% = peer, route:% = route,
                     importance:% = context.importance, nested = context.depth > 0,
                     code = *code as u16, reason = code.name(), running = load.running,
-                    limit = load.limit, waiting = load.waiting, shed_level = load.level,
-                    cold = load.cold, named_limit = load.named();
+                    limit = load.limit, waiting = load.waiting, shed_level = load.shed_level,
+                    cold = load.cold, named_limit = load.named_limit_or_minus_one();
                     "turned away"
                 );
             }
@@ -328,8 +328,8 @@
                     id = id, request:% = attempt, from:% = peer, route:% = route,
                     importance:% = context.importance, nested = context.depth > 0,
                     waited_ms = waited.as_ms(), running = load.running, limit = load.limit,
-                    waiting = load.waiting, shed_level = load.level, cold = load.cold,
-                    named_limit = load.named();
+                    waiting = load.waiting, shed_level = load.shed_level, cold = load.cold,
+                    named_limit = load.named_limit_or_minus_one();
                     "started"
                 );
             }
@@ -350,6 +350,6 @@
 }
 
 /// The age of a version for a line; minus one where there is none.
-fn age(known: Known) -> i64 {
-    known.age.map_or(-1, |age| age.as_ms() as i64)
+fn age(config: KnownConfig) -> i64 {
+    config.age.map_or(-1, |age| age.as_ms() as i64)
 }
--- a/src/process/export.rs
+++ b/src/process/export.rs
@@ -134,7 +134,7 @@
             let before = shown.insert(counter, count).unwrap_or(0);
             self.add(counter, count.saturating_sub(before));
         }
-        let named = core.load(Clock.now()).named;
+        let named = core.load(Clock.now()).named_limit;
         self.limit
             .record(named.map_or(f64::INFINITY, Rate::as_f64), &[]);
         let (calls, sent, received) = self.carrier.load();
@@ -210,7 +210,7 @@
             "report": report,
             "evacuated": evacuated,
             "cold": load.cold,
-            "named_limit": load.named.map(Rate::as_f64),
+            "named_limit": load.named_limit.map(Rate::as_f64),
             "members": members,
         });
         json_reply(StatusCode::OK, &status)
--- a/src/process/intake.rs
+++ b/src/process/intake.rs
@@ -56,7 +56,7 @@
                     peer: peer.clone(),
                     context: context.clone(),
                     claimed: claim.is_some(),
-                    name: self.name_of(&head, context),
+                    name: self.request_name(&head, context),
                     head,
                     route: route.clone(),
                     arrived: Clock.now(),
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -15,8 +15,8 @@
     context::Context,
     event::{
         Event,
-        Known,
-        Name, //
+        KnownConfig,
+        RequestName, //
     },
     frame::Head,
     id,
@@ -27,14 +27,14 @@
 
 impl Carrier {
     /// The name of a request that came in for the own upstream.
-    pub(crate) fn name_of(&self, head: &Head, context: &Context) -> Name {
+    pub(crate) fn request_name(&self, head: &Head, context: &Context) -> RequestName {
         let own = header::request(&head.headers, &self.interface.names);
-        Name::new(own.as_deref(), context.root)
+        RequestName::new(own.as_deref(), context.root)
     }
 
-    fn known(&self, now: Time) -> Known {
+    fn known_config(&self, now: Time) -> KnownConfig {
         let core = self.core();
-        Known {
+        KnownConfig {
             version: core.snapshot().version,
             age: core.discovered_config_age(now),
         }
@@ -42,8 +42,8 @@
 
     /// Without an id of its caller's a call is named by its number here until it
     /// has a root.
-    fn name(&self, pending: &Pending, call: id::Call) -> Name {
-        let number = || Name::new(None, format_args!("{}/{call}", self.me.instance));
+    fn name(&self, pending: &Pending, call: id::Call) -> RequestName {
+        let number = || RequestName::new(None, format_args!("{}/{call}", self.me.instance));
         pending.name.clone().unwrap_or_else(number)
     }
 
@@ -56,7 +56,7 @@
         context: &Context,
     ) {
         let now = Clock.now();
-        let known = self.known(now);
+        let config = self.known_config(now);
         self.with_call(call, |pending| {
             let event = Event::Sent {
                 attempt,
@@ -64,7 +64,7 @@
                 route,
                 context,
                 attempts: pending.attempts,
-                known,
+                config,
             };
             self.recorder.record(now, &self.name(pending, call), &event);
         });
@@ -118,12 +118,12 @@
             path: pending.path(),
             waited: now.since(pending.started),
             attempts: pending.attempts,
-            known: self.known(now),
+            config: self.known_config(now),
         };
         self.recorder.record(now, &self.name(pending, call), &event);
     }
 
-    pub(crate) fn record_gone(&self, pending: &Pending, call: id::Call) {
+    pub(crate) fn record_caller_gone(&self, pending: &Pending, call: id::Call) {
         let now = Clock.now();
         let event = Event::CallerGone {
             waited: now.since(pending.started),
@@ -145,7 +145,7 @@
 
     /// Tells why an attempt was not handed to the upstream. The end of one that
     /// was is told by [`Carrier::record_ended`].
-    pub(crate) fn record_turned(&self, attempt: id::Request, code: Code) {
+    pub(crate) fn record_turned_away(&self, attempt: id::Request, code: Code) {
         let now = Clock.now();
         let running = self.running.borrow();
         let Some(running) = running.get(&attempt).filter(|r| r.started.is_none()) else {
--- a/src/request/inbound.rs
+++ b/src/request/inbound.rs
@@ -283,9 +283,9 @@
             running: self.running.len(),
             limit: self.slots(now),
             waiting: self.waiting.len(),
-            level: self.controller.shed_importances(),
+            shed_level: self.controller.shed_importances(),
             cold: self.start_limits.cold.is_cold(),
-            named: self.start_limits.throttle.limit(),
+            named_limit: self.start_limits.throttle.limit(),
         }
     }
 
--- a/src/request/pending.rs
+++ b/src/request/pending.rs
@@ -20,7 +20,7 @@
             Names, //
         },
     },
-    event::Name,
+    event::RequestName,
     frame::Head,
     id,
     metric::Counter, //
@@ -57,7 +57,7 @@
     pub(crate) head: Head,
     pub(crate) source: Source,
     /// The name of the call in log lines; none before it has an id.
-    pub(crate) name: Option<Name>,
+    pub(crate) name: Option<RequestName>,
     /// When its headers had been read.
     pub(crate) started: Time,
     /// Number of attempts so far.
@@ -76,7 +76,7 @@
         Self {
             reply: Some(reply),
             delivered: None,
-            name: own.map(|own| Name::new(Some(&own), "")),
+            name: own.map(|own| RequestName::new(Some(&own), "")),
             started: now,
             attempts: 0,
             head,
--- a/tests/event.rs
+++ b/tests/event.rs
@@ -12,7 +12,7 @@
 use bluebellswitch::{
     clock::Time,
     event::{
-        Budget,
+        LogBudget,
         MESSAGES, //
     },
     standin::upstream::Act, //
@@ -98,11 +98,11 @@
 /// what else happens is still told.
 #[test]
 fn a_crowd_is_told_by_samples() {
-    let mut budget = Budget::FAILURES;
+    let mut budget = LogBudget::FAILURES;
     let crowd = (0..10_000u64).filter(|ms| budget.take(Time::from_ms(5000 + ms)));
     let lines = crowd.count();
     assert!((1200..1400).contains(&lines), "{lines} lines");
-    let mut quiet = Budget::ORDINARY;
+    let mut quiet = LogBudget::ORDINARY;
     let mut each = (0..100u64).map(|n| quiet.take(Time::from_ms(n * 100)));
     assert!(each.all(|written| written), "ten a second are all written");
 }
