--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -50,8 +50,8 @@
     },
     context::Context,
     event::{
-        Recorder, //
-        RequestName,
+        Recorder,
+        RequestName, //
     },
     frame::{
         Frame,
@@ -622,7 +622,7 @@
             .map(|(counter, count)| format!("{counter:?}={count}"))
             .collect();
         let load = core.load(now);
-        let left_out = self.recorder.left_out();
+        let left_out = self.recorder.take_omitted();
         if !news.is_empty() {
             log::info!(
                 counts = news.join(" "), running = load.running, limit = load.limit,
--- a/src/process/event.rs
+++ b/src/process/event.rs
@@ -1,10 +1,10 @@
-//! What was decided on single requests, as lines of the log.
+//! Log events for decisions on individual requests.
 //!
-//! Every decision that touches a request is one [`Event`]: a typed value here, a
-//! line with the same fields there, at whichever node it was made. The caller's
-//! own id of the request is in all of them, so that one search over the logs of
-//! all nodes gathers its way. The [`Recorder`] bounds them: under load failures
-//! go before what went well, and what is left out is counted.
+//! Every decision that affects a request is an [`Event`], which the node that
+//! decides writes as one log line with the same fields. Each line holds the caller's
+//! own id of the request, so one search over the logs of all nodes finds its path.
+//! The [`Recorder`] limits the rate of lines. Failures have a budget of their own, so
+//! successful requests can't displace them, and omitted events are counted.
 
 use std::cell::Cell;
 
@@ -24,10 +24,10 @@
     unit::Rate, //
 };
 
-/// Letters of a caller's id that lines show.
-const LONGEST_NAME: usize = 64;
+/// Maximum number of characters of a caller's id that is logged.
+const MAX_NAME_CHARS: usize = 64;
 
-/// The message of every event, as docs/OPERATIONS.md lists them.
+/// The messages of all events. docs/OPERATIONS.md lists them.
 pub const MESSAGES: &[&str] = &[
     "refused",
     "sent",
@@ -39,38 +39,39 @@
     "ended",
 ];
 
-/// A request as its caller names it, else as its nodes do.
+/// Name of a request in the log: the caller's id if there is one, else an id that the
+/// nodes assign.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestName(String);
 
 impl RequestName {
-    /// The name of a request whose caller gave it this id, or none.
-    pub(crate) fn new(own: Option<&[u8]>, root: impl std::fmt::Display) -> Self {
-        let Some(own) = own else {
+    /// Uses the caller's id if there is one, truncated, and `root` otherwise.
+    pub(crate) fn new(caller_id: Option<&[u8]>, root: impl std::fmt::Display) -> Self {
+        let Some(caller_id) = caller_id else {
             return Self(root.to_string());
         };
-        let own = String::from_utf8_lossy(own);
-        Self(own.chars().take(LONGEST_NAME).collect())
+        let caller_id = String::from_utf8_lossy(caller_id);
+        Self(caller_id.chars().take(MAX_NAME_CHARS).collect())
     }
 }
 
-/// What a node knew when it decided.
+/// Configuration that a node had when it decided.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KnownConfig {
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub(crate) version: id::Version,
-    /// The time since that was certainly the newest; none where it never was, or
-    /// where nothing tells.
+    /// Time since the version was last known to be the newest. `None` if it never was
+    /// or this is unknown.
     pub(crate) age: Option<Span>,
 }
 
-/// One decision.
+/// A decision on a request.
 #[derive(Debug)]
 pub(crate) enum Event<'a> {
-    /// The caller was answered with a code of this system's own.
+    /// The caller was answered with one of this system's own codes.
     Refused {
         code: Code,
-        /// When it was told to come back.
+        /// Time after which the caller may retry.
         wait: Option<Span>,
         path: &'a str,
         waited: Span,
@@ -86,22 +87,22 @@
         attempts: u8,
         config: KnownConfig,
     },
-    /// An instance told that an attempt ended without an answer.
+    /// An instance reported that an attempt ended without an answer.
     Declined {
         attempt: id::Request,
         peer: &'a id::Instance,
         code: Code,
         report: &'a Report,
     },
-    /// The upstream's answer went to the caller.
+    /// The upstream's answer was passed to the caller.
     Answered {
         attempt: id::Request,
         status: u16,
         waited: Span,
     },
-    /// The caller left before it had its answer.
+    /// The caller disconnected before it had its answer.
     CallerGone { waited: Span },
-    /// This node would not hand an attempt to its upstream, or ended it.
+    /// This node refused to pass an attempt to its upstream, or ended it.
     TurnedAway {
         attempt: id::Request,
         peer: &'a id::Instance,
@@ -110,7 +111,7 @@
         code: Code,
         load: Load,
     },
-    /// An attempt was handed to the upstream.
+    /// An attempt was passed to the upstream.
     Started {
         attempt: id::Request,
         peer: &'a id::Instance,
@@ -119,7 +120,7 @@
         waited: Span,
         load: Load,
     },
-    /// The upstream's part of an attempt ended.
+    /// The processing of an attempt by the upstream ended.
     Ended {
         attempt: id::Request,
         route: &'a id::Route,
@@ -128,71 +129,71 @@
     },
 }
 
-/// How the upstream beside a node is used.
+/// Utilization of the upstream beside a node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) running: usize,
     pub(crate) limit: u32,
     pub(crate) waiting: usize,
-    /// Importances that are shed, and which part of the next.
+    /// Number of importance levels that are shed; the fraction applies to the next one.
     pub(crate) shed_level: f64,
-    /// Requests are metered as the upstream is cold, or may be.
+    /// Whether requests are rate limited because the upstream is cold or may be.
     pub(crate) cold: bool,
-    /// The limit that the upstream names.
+    /// Rate limit that the upstream announces.
     pub(crate) named_limit: Option<Rate>,
 }
 
 impl Load {
-    /// The named limit for a line; minus one where there is none.
+    /// Returns the announced limit for the log; -1 if there is none.
     fn named_limit_or_minus_one(&self) -> f64 {
         self.named_limit.map_or(-1.0, Rate::as_f64)
     }
 }
 
-/// How many lines may be written.
+/// Token bucket that limits the rate of log lines.
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
-    /// Lines a second.
+    /// Lines per second.
     rate: f64,
-    /// Lines that may be saved up.
-    most: f64,
-    saved: f64,
-    at: Time,
+    /// Maximum number of lines in a burst.
+    burst: f64,
+    available: f64,
+    refilled_at: Time,
 }
 
 impl LogBudget {
-    /// For lines on failures: a burst of refusals shows whole, a lasting overload
-    /// by samples. A line costs about five microseconds and 300 bytes.
+    /// Budget for failures. A short burst of refusals is logged completely, a lasting
+    /// overload is sampled. A line costs about 5 µs and 300 bytes.
     pub const FAILURES: Self = Self::new(100.0, 300.0);
-    /// For all others.
+    /// Budget for all other events.
     pub const ORDINARY: Self = Self::new(40.0, 120.0);
 
-    const fn new(rate: f64, most: f64) -> Self {
+    const fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
-            most,
-            saved: most,
-            at: Time::ZERO,
+            burst,
+            available: burst,
+            refilled_at: Time::ZERO,
         }
     }
 
-    /// Takes one line, if there is one.
+    /// Takes one line from the budget. Returns false if none is available.
     pub fn take(&mut self, now: Time) -> bool {
-        let gained = now.since(self.at).as_secs_f64() * self.rate;
-        self.saved = (self.saved + gained).min(self.most);
-        self.at = now;
-        let some = self.saved >= 1.0;
-        self.saved -= f64::from(u8::from(some));
-        some
+        let refill = now.since(self.refilled_at).as_secs_f64() * self.rate;
+        self.available = (self.available + refill).min(self.burst);
+        self.refilled_at = now;
+        let allowed = self.available >= 1.0;
+        self.available -= f64::from(u8::from(allowed));
+        allowed
     }
 }
 
-/// Writes events within what is allowed.
+/// Logs events within their budgets.
 #[derive(Debug)]
 pub(crate) struct Recorder {
     failures: Cell<LogBudget>,
     ordinary: Cell<LogBudget>,
-    left_out: Cell<u64>,
+    omitted: Cell<u64>,
 }
 
 impl Default for Recorder {
@@ -200,35 +201,35 @@
         Self {
             failures: Cell::new(LogBudget::FAILURES),
             ordinary: Cell::new(LogBudget::ORDINARY),
-            left_out: Cell::new(0),
+            omitted: Cell::new(0),
         }
     }
 }
 
 impl Recorder {
-    /// Writes an event, or counts it.
+    /// Logs an event, or counts it as omitted if its budget is used up.
     pub(crate) fn record(&self, now: Time, name: &RequestName, event: &Event<'_>) {
         let budget = match event.is_failure() {
             true => &self.failures,
             false => &self.ordinary,
         };
-        let mut left = budget.get();
-        let some = left.take(now);
-        budget.set(left);
-        match some {
+        let mut remaining = budget.get();
+        let allowed = remaining.take(now);
+        budget.set(remaining);
+        match allowed {
             true => event.write(&name.0),
-            false => self.left_out.set(self.left_out.get() + 1),
+            false => self.omitted.set(self.omitted.get() + 1),
         }
     }
 
-    /// Events that were not written since this was last asked.
-    pub(crate) fn left_out(&self) -> u64 {
-        self.left_out.take()
+    /// Returns the number of events omitted since the last call and resets it.
+    pub(crate) fn take_omitted(&self) -> u64 {
+        self.omitted.take()
     }
 }
 
 impl Event<'_> {
-    /// Whether a request did not get what its caller wanted.
+    /// Reports whether the request failed from the point of view of its caller.
     fn is_failure(&self) -> bool {
         match self {
             Self::Refused { .. } | Self::Declined { .. } | Self::TurnedAway { .. } => true,
@@ -253,7 +254,7 @@
                     may_have_run = code.verdict() == Verdict::Unknown, path = path,
                     come_back_ms = wait.map_or(-1, |wait| wait.as_ms() as i64),
                     waited_ms = waited.as_ms(), attempts = attempts, version = config.version.0,
-                    version_age_ms = age(*config);
+                    version_age_ms = age_ms(*config);
                     "refused"
                 );
             }
@@ -269,7 +270,7 @@
                     id = id, request:% = attempt, peer:% = peer, route:% = route,
                     team:% = context.team, importance:% = context.importance,
                     left_ms = context.left.as_ms(), attempts = attempts,
-                    version = config.version.0, version_age_ms = age(*config);
+                    version = config.version.0, version_age_ms = age_ms(*config);
                     "sent"
                 );
             }
@@ -349,7 +350,7 @@
     }
 }
 
-/// The age of a version for a line; minus one where there is none.
-fn age(config: KnownConfig) -> i64 {
+/// Returns the age of a configuration for the log in milliseconds; -1 if unknown.
+fn age_ms(config: KnownConfig) -> i64 {
     config.age.map_or(-1, |age| age.as_ms() as i64)
 }
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -1,4 +1,4 @@
-//! Tells the log what was decided on the requests that a node carries.
+//! Logs the decisions on the requests that a node handles.
 
 use crate::{
     carrier::{
@@ -26,10 +26,10 @@
 };
 
 impl Carrier {
-    /// The name of a request that came in for the own upstream.
+    /// Returns the log name of a request for this node's own upstream.
     pub(crate) fn request_name(&self, head: &Head, context: &Context) -> RequestName {
-        let own = header::request(&head.headers, &self.interface.names);
-        RequestName::new(own.as_deref(), context.root)
+        let caller_id = header::request(&head.headers, &self.interface.names);
+        RequestName::new(caller_id.as_deref(), context.root)
     }
 
     fn known_config(&self, now: Time) -> KnownConfig {
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Without an id of its caller's a call is named by its number here until it
-    /// has a root.
-    fn name(&self, pending: &Pending, call: id::Call) -> RequestName {
-        let number = || RequestName::new(None, format_args!("{}/{call}", self.me.instance));
-        pending.name.clone().unwrap_or_else(number)
+    /// Returns the log name of a call. A call without an id from its caller is named
+    /// after this instance and its number until it has a root.
+    fn call_name(&self, pending: &Pending, call: id::Call) -> RequestName {
+        let numbered_name = || RequestName::new(None, format_args!("{}/{call}", self.me.instance));
+        pending.name.clone().unwrap_or_else(numbered_name)
     }
 
     pub(crate) fn record_sent(
@@ -66,7 +66,8 @@
                 attempts: pending.attempts,
                 config,
             };
-            self.recorder.record(now, &self.name(pending, call), &event);
+            self.recorder
+                .record(now, &self.call_name(pending, call), &event);
         });
     }
 
@@ -88,7 +89,7 @@
                 code,
                 report,
             };
-            let name = self.name(pending, call);
+            let name = self.call_name(pending, call);
             self.recorder.record(Clock.now(), &name, &event);
         });
     }
@@ -120,7 +121,8 @@
             attempts: pending.attempts,
             config: self.known_config(now),
         };
-        self.recorder.record(now, &self.name(pending, call), &event);
+        self.recorder
+            .record(now, &self.call_name(pending, call), &event);
     }
 
     pub(crate) fn record_caller_gone(&self, pending: &Pending, call: id::Call) {
@@ -128,7 +130,8 @@
         let event = Event::CallerGone {
             waited: now.since(pending.started),
         };
-        self.recorder.record(now, &self.name(pending, call), &event);
+        self.recorder
+            .record(now, &self.call_name(pending, call), &event);
     }
 
     pub(crate) fn record_started(&self, now: Time, attempt: id::Request, running: &Running) {
@@ -143,8 +146,8 @@
         self.recorder.record(now, &running.name, &event);
     }
 
-    /// Tells why an attempt was not handed to the upstream. The end of one that
-    /// was is told by [`Carrier::record_ended`].
+    /// Logs why an attempt was not passed to the upstream. For an attempt that was
+    /// passed on, [`Carrier::record_ended`] logs the outcome.
     pub(crate) fn record_turned_away(&self, attempt: id::Request, code: Code) {
         let now = Clock.now();
         let running = self.running.borrow();
