--- a/src/process/export.rs
+++ b/src/process/export.rs
@@ -1,6 +1,6 @@
-//! The operators' listener: metrics, status, health and drain.
+//! HTTP API for operators: metrics, status, rollout, health and drain.
 //!
-//! Everything but `/health` asks for the operators' token.
+//! All endpoints except `/health` check the operators' token.
 
 use std::{
     cell::RefCell,
@@ -49,28 +49,29 @@
     unit::Rate, //
 };
 
-/// How long the domains' watchers may take to answer.
-const SURVEY: Span = Span::from_ms(500);
-/// Time between two looks at what has come.
-const SURVEY_STEP: Span = Span::from_ms(10);
+/// Maximum time to wait for the reports of all domains.
+const ROLLOUT_TIMEOUT: Span = Span::from_ms(500);
+/// Interval between two checks for reports.
+const ROLLOUT_POLL_INTERVAL: Span = Span::from_ms(10);
 
-/// How every metric of this system begins.
-const PREFIX: &str = "bluebellswitch_";
+/// Prefix of all metric names.
+const METRIC_PREFIX: &str = "bluebellswitch_";
 
-/// What operators can ask for.
-pub(crate) struct Operator {
+/// State of the operators' API.
+pub(crate) struct OperatorApi {
     carrier: Rc<Carrier>,
     registry: Registry,
-    /// Keeps the instruments alive.
+    /// Never read; dropping the provider would stop the instruments.
     _provider: SdkMeterProvider,
     meter: Meter,
     load: Gauge<u64>,
-    limit: Gauge<f64>,
+    named_limit: Gauge<f64>,
     counters: RefCell<HashMap<String, Instrument<u64>>>,
-    shown: RefCell<HashMap<Counter, u64>>,
+    /// Counter values that the instruments already include.
+    exported: RefCell<HashMap<Counter, u64>>,
 }
 
-impl Operator {
+impl OperatorApi {
     pub(crate) fn new(carrier: Rc<Carrier>) -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -81,24 +82,27 @@
             .expect("a new registry has no other exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("bluebellswitch");
-        let load = meter.u64_gauge(format!("{PREFIX}load")).build();
-        let limit = meter.f64_gauge(format!("{PREFIX}named_limit")).build();
-        let operator = Self {
+        let load = meter.u64_gauge(format!("{METRIC_PREFIX}load")).build();
+        let named_limit = meter
+            .f64_gauge(format!("{METRIC_PREFIX}named_limit"))
+            .build();
+        let api = Self {
             carrier,
             registry,
             _provider: provider,
             meter,
             load,
-            limit,
+            named_limit,
             counters: RefCell::default(),
-            shown: RefCell::default(),
+            exported: RefCell::default(),
         };
         let refusals = Code::ALL.iter().map(|code| Counter::Refused(*code));
-        refusals.for_each(|counter| operator.add(counter, 0));
-        operator
+        refusals.for_each(|counter| api.add(counter, 0));
+        api
     }
 
-    /// Adds to the instrument of a counter, which is named after it.
+    /// Adds to the instrument of a counter. Its name and its label `reason` derive from
+    /// the counter's `Debug` form.
     fn add(&self, counter: Counter, count: u64) {
         let text = format!("{counter:?}");
         let (name, reason) = match text.split_once('(') {
@@ -112,7 +116,7 @@
         if let Counter::Refused(code) = counter {
             labels.push(KeyValue::new("code", i64::from(code as u16)));
         }
-        let name = format!("{PREFIX}{}", snake(name));
+        let name = format!("{METRIC_PREFIX}{}", to_snake_case(name));
         let mut counters = self.counters.borrow_mut();
         let instrument = counters
             .entry(name.clone())
@@ -120,23 +124,23 @@
         instrument.add(count, &labels);
     }
 
-    /// Brings the instruments up to what has been counted.
+    /// Updates the instruments from the current counts and load.
     fn refresh(&self) {
-        let mut total: HashMap<Counter, u64> = HashMap::new();
+        let mut totals: HashMap<Counter, u64> = HashMap::new();
         let core = self.carrier.core();
         let traffic = self.carrier.counts();
-        let both: [&Counts; 2] = [core.counts(), &traffic];
-        for (counter, count) in both.into_iter().flat_map(Counts::iter) {
-            *total.entry(counter).or_default() += count;
+        let sources: [&Counts; 2] = [core.counts(), &traffic];
+        for (counter, count) in sources.into_iter().flat_map(Counts::iter) {
+            *totals.entry(counter).or_default() += count;
         }
-        let mut shown = self.shown.borrow_mut();
-        for (counter, count) in total {
-            let before = shown.insert(counter, count).unwrap_or(0);
-            self.add(counter, count.saturating_sub(before));
+        let mut exported = self.exported.borrow_mut();
+        for (counter, count) in totals {
+            let previous = exported.insert(counter, count).unwrap_or(0);
+            self.add(counter, count.saturating_sub(previous));
         }
-        let named = core.load(Clock.now()).named_limit;
-        self.limit
-            .record(named.map_or(f64::INFINITY, Rate::as_f64), &[]);
+        let named_limit = core.load(Clock.now()).named_limit;
+        self.named_limit
+            .record(named_limit.map_or(f64::INFINITY, Rate::as_f64), &[]);
         let (calls, sent, received) = self.carrier.load();
         let (dialed, accepted) = self.carrier.links.len();
         for (kind, count) in [
@@ -155,8 +159,8 @@
         self.refresh();
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            Ok(()) => reply(StatusCode::OK, "text/plain; version=0.0.4", text),
-            Err(_) => empty(StatusCode::INTERNAL_SERVER_ERROR),
+            Ok(()) => build_response(StatusCode::OK, "text/plain; version=0.0.4", text),
+            Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
@@ -213,57 +217,58 @@
             "named_limit": load.named_limit.map(Rate::as_f64),
             "members": members,
         });
-        json_reply(StatusCode::OK, &status)
+        json_response(StatusCode::OK, &status)
     }
 
-    /// Asks one watcher of each domain how far its members have come.
+    /// Asks one watcher of each domain which configuration version its members have, and
+    /// waits for the reports. Domains without a report are listed with version 0.
     async fn rollout(&self) -> Response<BoxBody> {
         let carrier = &self.carrier;
         carrier.on(Event::Survey);
-        let begun = Clock.now();
-        let whole = || {
+        let started = Clock.now();
+        let all_reported = || {
             let core = carrier.core();
             core.reports().count() >= core.live_domain_count()
         };
-        while !whole() && Clock.now().since(begun) < SURVEY {
-            tokio::time::sleep(SURVEY_STEP.to_std()).await;
+        while !all_reported() && Clock.now().since(started) < ROLLOUT_TIMEOUT {
+            tokio::time::sleep(ROLLOUT_POLL_INTERVAL.to_std()).await;
         }
         let core = carrier.core();
-        let domains: Vec<_> = core.reports().map(domain).collect();
-        let silent = core.unreported_domains();
-        let silent = silent.map(|name| json!({ "domain": name, "version": 0 }));
+        let domains: Vec<_> = core.reports().map(domain_json).collect();
+        let unreported = core.unreported_domains();
+        let unreported = unreported.map(|name| json!({ "domain": name, "version": 0 }));
         let rollout = json!({
             "instance": carrier.me.instance,
             "version": core.snapshot().version,
-            "domains": domains.into_iter().chain(silent).collect::<Vec<_>>(),
+            "domains": domains.into_iter().chain(unreported).collect::<Vec<_>>(),
         });
-        json_reply(StatusCode::OK, &rollout)
+        json_response(StatusCode::OK, &rollout)
     }
 
     fn health(&self) -> Response<BoxBody> {
         match self.carrier.is_draining() {
-            true => json_reply(
+            true => json_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 &json!({ "status": "draining" }),
             ),
-            false => json_reply(StatusCode::OK, &json!({ "status": "ok" })),
+            false => json_response(StatusCode::OK, &json!({ "status": "ok" })),
         }
     }
 
-    fn may(&self, request: &Request) -> bool {
+    fn is_authorized(&self, request: &Request) -> bool {
         let value = request.headers().get("authorization");
         let text = value.and_then(|value| value.to_str().ok());
         let token = text.and_then(|text| text.strip_prefix("Bearer "));
         match &self.carrier.settings().operators_token {
-            Some(own) => token.is_some_and(|token| own.is(token)),
-            // Without a token only what changes nothing is served.
+            Some(expected) => token.is_some_and(|token| expected.is(token)),
+            // If no token is configured, only read-only requests are allowed.
             None => request.method() == "GET",
         }
     }
 }
 
-/// One domain of a rollout.
-fn domain(report: &Report) -> serde_json::Value {
+/// Returns the rollout state of a domain as JSON.
+fn domain_json(report: &Report) -> serde_json::Value {
     json!({
         "domain": report.domain,
         "version": report.version,
@@ -274,46 +279,46 @@
     })
 }
 
-/// Answers an operator.
-pub(crate) async fn serve(operator: Rc<Operator>, request: Request) -> Response<BoxBody> {
+/// Handles a request of an operator.
+pub(crate) async fn serve(api: Rc<OperatorApi>, request: Request) -> Response<BoxBody> {
     if request.path() == "/health" {
-        return operator.health();
+        return api.health();
     }
-    if !operator.may(&request) {
-        return empty(StatusCode::UNAUTHORIZED);
+    if !api.is_authorized(&request) {
+        return empty_response(StatusCode::UNAUTHORIZED);
     }
     match (request.method().as_str(), request.path()) {
-        ("GET", "/metrics") => operator.metrics(),
-        ("GET", "/status") => operator.status(),
-        ("GET", "/rollout") => operator.rollout().await,
+        ("GET", "/metrics") => api.metrics(),
+        ("GET", "/status") => api.status(),
+        ("GET", "/rollout") => api.rollout().await,
         ("POST", "/drain") => {
-            log::info!("an operator drains the node");
-            operator.carrier.drain();
-            json_reply(StatusCode::ACCEPTED, &json!({ "status": "draining" }))
+            log::info!("draining: requested by an operator");
+            api.carrier.drain();
+            json_response(StatusCode::ACCEPTED, &json!({ "status": "draining" }))
         }
         (_, "/metrics" | "/status" | "/rollout" | "/drain") => {
-            empty(StatusCode::METHOD_NOT_ALLOWED)
+            empty_response(StatusCode::METHOD_NOT_ALLOWED)
         }
-        _ => empty(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn empty(status: StatusCode) -> Response<BoxBody> {
+fn empty_response(status: StatusCode) -> Response<BoxBody> {
     Response::new(status).set_body(BoxBody::new(()))
 }
 
-fn json_reply(status: StatusCode, value: &serde_json::Value) -> Response<BoxBody> {
-    reply(status, "application/json", value.to_string().into_bytes())
+fn json_response(status: StatusCode, value: &serde_json::Value) -> Response<BoxBody> {
+    build_response(status, "application/json", value.to_string().into_bytes())
 }
 
-fn reply(status: StatusCode, kind: &str, body: Vec<u8>) -> Response<BoxBody> {
+fn build_response(status: StatusCode, content_type: &str, body: Vec<u8>) -> Response<BoxBody> {
     let mut response = Response::build(status);
-    response.insert_header(("content-type", kind));
+    response.insert_header(("content-type", content_type));
     response.body(body).map_into_boxed_body()
 }
 
-/// A type's name in the style of metrics.
-fn snake(name: &str) -> String {
+/// Converts a type name in camel case to snake case for metric names.
+fn to_snake_case(name: &str) -> String {
     let mut text = String::new();
     for c in name.chars() {
         if c.is_ascii_uppercase() && !text.is_empty() {
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -267,7 +267,7 @@
             let task = http(carrier.clone(), self.doors.clone(), listener, answer);
             self.tasks.push(actix_rt::spawn(task));
         }
-        let operator = Rc::new(export::Operator::new(carrier.clone()));
+        let operator = Rc::new(export::OperatorApi::new(carrier.clone()));
         let answer = move |request| export::serve(operator.clone(), request);
         let task = http(carrier.clone(), self.doors.clone(), operators, answer);
         self.tasks.push(actix_rt::spawn(task));
