--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -35,7 +35,7 @@
 /// Number of consecutive refused connections after which an upstream counts as gone
 /// until its next announcement. A single one may be refused because the upstream has
 /// too many connections.
-const MAX_CONSECUTIVE_REFUSALS: u32 = 2;
+const REFUSALS_UNTIL_GONE: u32 = 2;
 
 /// Handles a request on the announcement listener.
 pub(crate) async fn serve(carrier: Rc<Carrier>, mut request: Request) -> Response<BoxBody> {
@@ -143,8 +143,7 @@
             End::Refused => {
                 let refusals = self.refusals.get() + 1;
                 self.refusals.set(refusals);
-                if refusals == MAX_CONSECUTIVE_REFUSALS
-                    && self.settings().listen.announcements.is_some()
+                if refusals == REFUSALS_UNTIL_GONE && self.settings().listen.announcements.is_some()
                 {
                     log::warn!("the service accepts no connection; it counts as gone");
                     self.set_upstream_ready(false);
