--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -51,8 +51,8 @@
     },
     context::Context,
     event::{
-        Name,
-        Recorder, //
+        Recorder,
+        RequestName, //
     },
     frame::{
         Frame,
@@ -106,7 +106,7 @@
     pub(crate) context: Context,
     pub(crate) claimed: bool,
     /// Name of the request in its log lines.
-    pub(crate) name: Name,
+    pub(crate) name: RequestName,
     pub(crate) route: id::Route,
     pub(crate) arrived: Time,
     pub(crate) started: Option<Time>,
@@ -381,7 +381,7 @@
     pub(crate) fn finish(&self, call: id::Call) {
         let ended = self.calls.borrow_mut().remove(&call);
         if let Some(pending) = ended.filter(|pending| pending.reply.is_some()) {
-            self.record_gone(&pending, call);
+            self.record_caller_gone(&pending, call);
         }
         self.on(Event::CallerGone(call));
         self.changed.notify_waiters();
@@ -423,7 +423,7 @@
             } => {
                 let head = self.with_call(call, |pending| {
                     pending.attempts = pending.attempts.saturating_add(1);
-                    let name = || Name::new(None, context.root);
+                    let name = || RequestName::new(None, context.root);
                     pending.name.get_or_insert_with(name);
                     pending.head.clone()
                 });
@@ -449,7 +449,7 @@
             Action::Frame(peer, frame) => {
                 match &frame {
                     Frame::Refuse { request, code, .. } => {
-                        self.record_turned(*request, *code);
+                        self.record_turned_away(*request, *code);
                         self.forget_running(*request);
                     }
                     Frame::Finish { request, .. } => self.forget_running(*request),
@@ -633,11 +633,11 @@
             .map(|(counter, count)| format!("{counter:?}={count}"))
             .collect();
         let load = core.load(now);
-        let left_out = self.recorder.left_out();
+        let left_out = self.recorder.take_omitted();
         if !changes.is_empty() {
             log::info!(
                 counts = changes.join(" "), running = load.running, limit = load.limit,
-                waiting = load.waiting, shed_level = load.level, left_out = left_out,
+                waiting = load.waiting, shed_level = load.shed_level, left_out = left_out,
                 dropped = crate::log::dropped();
                 "summary"
             );
--- a/src/process/recorder.rs
+++ b/src/process/recorder.rs
@@ -1,4 +1,4 @@
-//! Tells the log what was decided on the requests that a node carries.
+//! Logs the decisions on the requests that a node handles.
 
 use crate::{
     carrier::{
@@ -15,8 +15,8 @@
     context::Context,
     event::{
         Event,
-        Known,
-        Name, //
+        KnownConfig,
+        RequestName, //
     },
     frame::Head,
     id,
@@ -26,25 +26,25 @@
 };
 
 impl Carrier {
-    /// The name of a request that came in for the own upstream.
-    pub(crate) fn name_of(&self, head: &Head, context: &Context) -> Name {
-        let own = header::request(&head.headers, &self.interface.names);
-        Name::new(own.as_deref(), context.root)
+    /// Returns the log name of a request for this node's own upstream.
+    pub(crate) fn request_name(&self, head: &Head, context: &Context) -> RequestName {
+        let caller_id = header::request(&head.headers, &self.interface.names);
+        RequestName::new(caller_id.as_deref(), context.root)
     }
 
-    fn known(&self, now: Time) -> Known {
+    fn known_config(&self, now: Time) -> KnownConfig {
         let core = self.core();
-        Known {
+        KnownConfig {
             version: core.snapshot().version,
             age: core.discovered_config_age(now),
         }
     }
 
-    /// Without an id of its caller's a call is named by its number here until it
-    /// has a root.
-    fn name(&self, pending: &Pending, call: id::Call) -> Name {
-        let number = || Name::new(None, format_args!("{}/{call}", self.me.instance));
-        pending.name.clone().unwrap_or_else(number)
+    /// Returns the log name of a call. A call without an id from its caller is named
+    /// after this instance and its number until it has a root.
+    fn call_name(&self, pending: &Pending, call: id::Call) -> RequestName {
+        let numbered_name = || RequestName::new(None, format_args!("{}/{call}", self.me.instance));
+        pending.name.clone().unwrap_or_else(numbered_name)
     }
 
     pub(crate) fn record_sent(
@@ -56,7 +56,7 @@
         context: &Context,
     ) {
         let now = Clock.now();
-        let known = self.known(now);
+        let config = self.known_config(now);
         self.with_call(call, |pending| {
             let event = Event::Sent {
                 attempt,
@@ -64,9 +64,10 @@
                 route,
                 context,
                 attempts: pending.attempts,
-                known,
+                config,
             };
-            self.recorder.record(now, &self.name(pending, call), &event);
+            self.recorder
+                .record(now, &self.call_name(pending, call), &event);
         });
     }
 
@@ -88,7 +89,7 @@
                 code,
                 report,
             };
-            let name = self.name(pending, call);
+            let name = self.call_name(pending, call);
             self.recorder.record(Clock.now(), &name, &event);
         });
     }
@@ -118,17 +119,19 @@
             path: pending.path(),
             waited: now.since(pending.started),
             attempts: pending.attempts,
-            known: self.known(now),
+            config: self.known_config(now),
         };
-        self.recorder.record(now, &self.name(pending, call), &event);
+        self.recorder
+            .record(now, &self.call_name(pending, call), &event);
     }
 
-    pub(crate) fn record_gone(&self, pending: &Pending, call: id::Call) {
+    pub(crate) fn record_caller_gone(&self, pending: &Pending, call: id::Call) {
         let now = Clock.now();
         let event = Event::CallerGone {
             waited: now.since(pending.started),
         };
-        self.recorder.record(now, &self.name(pending, call), &event);
+        self.recorder
+            .record(now, &self.call_name(pending, call), &event);
     }
 
     pub(crate) fn record_started(
@@ -148,9 +151,9 @@
         self.recorder.record(now, &running.name, &event);
     }
 
-    /// Tells why an attempt was not handed to the upstream. The end of one that
-    /// was is told by [`Carrier::record_ended`].
-    pub(crate) fn record_turned(&self, attempt: id::Request, code: Code) {
+    /// Logs why an attempt was not passed to the upstream. For an attempt that was
+    /// passed on, [`Carrier::record_ended`] logs the outcome.
+    pub(crate) fn record_turned_away(&self, attempt: id::Request, code: Code) {
         let now = Clock.now();
         let running = self.running.borrow();
         let Some(running) = running.get(&attempt).filter(|r| r.started.is_none()) else {
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -276,7 +276,7 @@
             let task = serve_http(carrier.clone(), self.connections.clone(), listener, handler);
             self.tasks.push(actix_rt::spawn(task));
         }
-        let operator = Rc::new(export::Operator::new(carrier.clone()));
+        let operator = Rc::new(export::OperatorApi::new(carrier.clone()));
         let handler = move |request| export::serve(operator.clone(), request);
         let task = serve_http(
             carrier.clone(),
