--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -538,9 +538,9 @@
             return;
         };
         if is_for_inbound(&frame) {
-            Links::dialed(&carrier, peer, &frame);
+            Links::send_outbound(&carrier, peer, &frame);
         } else {
-            self.links.accepted(peer, &frame);
+            self.links.send_inbound(peer, &frame);
         }
     }
 
--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -58,7 +58,7 @@
     }
 
     /// Sends a frame over the link that this node dials.
-    pub(crate) fn dialed(carrier: &Rc<Carrier>, peer: &id::Instance, frame: &Frame) {
+    pub(crate) fn send_outbound(carrier: &Rc<Carrier>, peer: &id::Instance, frame: &Frame) {
         let Ok(bytes) = frame.encode() else {
             return log::error!(peer:% = peer; "a frame is too large to send");
         };
@@ -80,7 +80,7 @@
 
     /// Sends a frame over the link that the peer made. Without one, nobody
     /// waits for it any more.
-    pub(crate) fn accepted(&self, peer: &id::Instance, frame: &Frame) {
+    pub(crate) fn send_inbound(&self, peer: &id::Instance, frame: &Frame) {
         if let Some(link) = self.accepted.borrow().get(peer)
             && let Ok(bytes) = frame.encode()
         {
