--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -1,4 +1,4 @@
-//! The links of one node: made when they are needed, closed when idle.
+//! The links of a node to other nodes, opened on demand and closed when idle.
 
 use std::{
     cell::{
@@ -37,102 +37,107 @@
     node::Event,
 };
 
+/// An open link, or one whose handshake is in progress.
 struct Link {
+    /// Distinguishes the link from earlier and later ones to the same peer.
     number: u64,
     queue: Queue,
-    used: Cell<Time>,
+    last_used: Cell<Time>,
 }
 
-/// All links of a node.
+/// All links of a node, by peer.
 #[derive(Default)]
 pub(crate) struct Links {
-    dialed: RefCell<HashMap<id::Instance, Link>>,
-    accepted: RefCell<HashMap<id::Instance, Link>>,
+    outbound: RefCell<HashMap<id::Instance, Link>>,
+    inbound: RefCell<HashMap<id::Instance, Link>>,
     half_open: Cell<usize>,
 }
 
 impl Links {
-    /// Links that this node made, and that others made to it.
+    /// Returns the number of outbound and of inbound links.
     pub(crate) fn len(&self) -> (usize, usize) {
-        (self.dialed.borrow().len(), self.accepted.borrow().len())
+        (self.outbound.borrow().len(), self.inbound.borrow().len())
     }
 
-    /// Sends a frame over the link that this node dials.
+    /// Sends a frame over the outbound link to a peer, which is dialed if there is
+    /// none.
     pub(crate) fn send_outbound(carrier: &Rc<Carrier>, peer: &id::Instance, frame: &Frame) {
         let Ok(bytes) = frame.encode() else {
-            return log::error!(peer:% = peer; "a frame is too large to send");
+            return log::error!(peer:% = peer; "frame is too large to send");
         };
-        let mut links = carrier.links.dialed.borrow_mut();
+        let mut links = carrier.links.outbound.borrow_mut();
         let link = links
             .entry(peer.clone())
             .or_insert_with(|| dial(carrier, peer));
-        link.used.set(Clock.now());
+        link.last_used.set(Clock.now());
         let _ = link.queue.send(bytes);
     }
 
-    /// Makes the link to a peer, unless it is there.
+    /// Dials a peer unless there is an outbound link to it.
     pub(crate) fn ensure(carrier: &Rc<Carrier>, peer: &id::Instance) {
-        let mut links = carrier.links.dialed.borrow_mut();
+        let mut links = carrier.links.outbound.borrow_mut();
         links
             .entry(peer.clone())
             .or_insert_with(|| dial(carrier, peer));
     }
 
-    /// Sends a frame over the link that the peer made. Without one, nobody
-    /// waits for it any more.
+    /// Sends a frame over the inbound link of a peer. Without one the frame is
+    /// dropped, since the peer no longer waits for it.
     pub(crate) fn send_inbound(&self, peer: &id::Instance, frame: &Frame) {
-        if let Some(link) = self.accepted.borrow().get(peer)
+        if let Some(link) = self.inbound.borrow().get(peer)
             && let Ok(bytes) = frame.encode()
         {
             let _ = link.queue.send(bytes);
         }
     }
 
-    /// Closes the links that were not used for a while. Closing the queue lets
-    /// what is in it go out first.
+    /// Closes idle outbound links. Queued frames are still sent, since a closed
+    /// queue is drained first.
     pub(crate) fn prune(&self, carrier: &Carrier, now: Time) {
-        let idle = carrier.limits().link_idle;
-        let quiet = |peer: &id::Instance, link: &Link| {
-            now.since(link.used.get()) >= idle && !carrier.attempts_at(peer)
+        let idle_timeout = carrier.limits().link_idle;
+        let is_idle = |peer: &id::Instance, link: &Link| {
+            now.since(link.last_used.get()) >= idle_timeout && !carrier.attempts_at(peer)
         };
-        let mut links = self.dialed.borrow_mut();
-        links.retain(|peer, link| !quiet(peer, link));
+        let mut links = self.outbound.borrow_mut();
+        links.retain(|peer, link| !is_idle(peer, link));
     }
 
-    /// Closes every link, once what is queued has gone out.
+    /// Closes all links after their queued frames have been sent.
     pub(crate) fn close(&self) {
-        self.dialed.borrow_mut().clear();
-        self.accepted.borrow_mut().clear();
+        self.outbound.borrow_mut().clear();
+        self.inbound.borrow_mut().clear();
     }
 
-    /// Breaks every link at once. What is queued is lost.
+    /// Reports all links as lost and forgets them. Their queued frames count as
+    /// lost.
     pub(crate) fn cut(&self, carrier: &Carrier) {
-        let dialed: Vec<_> = self.dialed.borrow_mut().drain().collect();
-        let accepted: Vec<_> = self.accepted.borrow_mut().drain().collect();
-        dialed
+        let outbound: Vec<_> = self.outbound.borrow_mut().drain().collect();
+        let inbound: Vec<_> = self.inbound.borrow_mut().drain().collect();
+        outbound
             .into_iter()
             .for_each(|(peer, _)| carrier.on(Event::OutboundLinkLost(peer)));
-        accepted
+        inbound
             .into_iter()
             .for_each(|(peer, _)| carrier.on(Event::InboundLinkLost(peer)));
     }
 
-    /// Takes a connection that another node made.
+    /// Accepts a connection of another node, and serves it as an inbound link once
+    /// it is authenticated.
     pub(crate) fn accept(carrier: &Rc<Carrier>, stream: TcpStream) {
         let links = &carrier.links;
         let limits = carrier.limits();
-        let full = links.accepted.borrow().len() >= limits.links;
+        let full = links.inbound.borrow().len() >= limits.links;
         if full || links.half_open.get() >= limits.half_open {
             return carrier.count(Counter::LinkLimit);
         }
         links.half_open.set(links.half_open.get() + 1);
         let carrier = carrier.clone();
         actix_rt::spawn(async move {
-            let greeting = link::accept(stream, &carrier.me.instance, &carrier.ring);
-            let greeted = tokio::time::timeout(HANDSHAKE_TIMEOUT.to_std(), greeting).await;
+            let handshake = link::accept(stream, &carrier.me.instance, &carrier.ring);
+            let outcome = tokio::time::timeout(HANDSHAKE_TIMEOUT.to_std(), handshake).await;
             let links = &carrier.links;
             links.half_open.set(links.half_open.get() - 1);
-            match greeted {
+            match outcome {
                 Ok(Ok((peer, socket))) => serve(carrier, peer, socket).await,
                 Ok(Err(error)) => {
                     log::warn!(code = error.number(); "link refused: {}", error.reason());
@@ -144,94 +149,95 @@
     }
 }
 
-/// Carries a link that a peer made, until it breaks.
+/// Serves an inbound link until it ends.
 async fn serve(
     carrier: Rc<Carrier>,
     peer: id::Instance,
     socket: tokio_tungstenite::WebSocketStream<TcpStream>,
 ) {
-    let (queue, rest) = mpsc::unbounded_channel();
+    let (queue, queued) = mpsc::unbounded_channel();
     let number = carrier.next_number();
     let link = Link {
         number,
         queue,
-        used: Cell::new(Clock.now()),
+        last_used: Cell::new(Clock.now()),
     };
-    let former = carrier
+    let replaced = carrier
         .links
-        .accepted
+        .inbound
         .borrow_mut()
         .insert(peer.clone(), link);
-    if former.is_some() {
-        // The peer gave the former link up; what came over it has no waiter,
-        // and must not be mixed with what comes over this one.
+    if replaced.is_some() {
+        // The peer has given up the replaced link. Nothing waits for the frames
+        // that came over it, and they must not be mixed with those of this one.
         carrier.on(Event::InboundLinkLost(peer.clone()));
     }
     carrier.count(Counter::LinkOpened);
-    link::carry(socket, rest, taker(&carrier, &peer, true)).await;
-    let mut links = carrier.links.accepted.borrow_mut();
-    let current = links.get(&peer).is_some_and(|link| link.number == number);
-    if current {
+    link::carry(socket, queued, frame_handler(&carrier, &peer, true)).await;
+    let mut links = carrier.links.inbound.borrow_mut();
+    let is_current = links.get(&peer).is_some_and(|link| link.number == number);
+    if is_current {
         links.remove(&peer);
     }
     drop(links);
-    if current {
+    if is_current {
         carrier.on(Event::InboundLinkLost(peer));
     }
 }
 
-/// Begins to make a link. Frames queue until it is there.
+/// Starts to dial a peer. Frames are queued until the link is open.
 fn dial(carrier: &Rc<Carrier>, peer: &id::Instance) -> Link {
-    let (queue, rest) = mpsc::unbounded_channel();
+    let (queue, queued) = mpsc::unbounded_channel();
     let number = carrier.next_number();
     let (carrier, peer) = (carrier.clone(), peer.clone());
     actix_rt::spawn(async move {
-        let made = make(&carrier, &peer).await;
-        let opened = made.is_ok();
-        match made {
+        let connected = connect(&carrier, &peer).await;
+        let opened = connected.is_ok();
+        match connected {
             Ok(socket) => {
                 carrier.count(Counter::LinkOpened);
                 carrier.on(Event::OutboundLinkOpened(peer.clone()));
-                link::carry(socket, rest, taker(&carrier, &peer, false)).await;
+                link::carry(socket, queued, frame_handler(&carrier, &peer, false)).await;
             }
             Err(error) => {
                 log::warn!(peer:% = peer, code = error.number(); "no link: {}", error.reason());
             }
         }
-        ended(&carrier, peer, number, opened);
+        handle_outbound_end(&carrier, peer, number, opened);
     });
     Link {
         number,
         queue,
-        used: Cell::new(Clock.now()),
+        last_used: Cell::new(Clock.now()),
     }
 }
 
-async fn make(
+/// Connects to a peer and performs the handshake.
+async fn connect(
     carrier: &Rc<Carrier>,
     peer: &id::Instance,
 ) -> Result<tokio_tungstenite::WebSocketStream<TcpStream>> {
     let address = carrier.core_mut().members().get(peer).map(|peer| peer.link);
     let address = address.ok_or_else(|| Error::new(Fault::Unreachable, "no such member"))?;
-    let dialing = link::dial(address, &carrier.me.instance, peer, &carrier.ring);
-    tokio::time::timeout(HANDSHAKE_TIMEOUT.to_std(), dialing)
+    let handshake = link::dial(address, &carrier.me.instance, peer, &carrier.ring);
+    tokio::time::timeout(HANDSHAKE_TIMEOUT.to_std(), handshake)
         .await
         .map_err(|_| Error::new(Fault::Unreachable, "the handshake took too long"))?
 }
 
-/// A link that this node made has ended. One closed for being idle is not in
-/// the table any more and puts nothing in doubt.
-fn ended(carrier: &Rc<Carrier>, peer: id::Instance, number: u64, opened: bool) {
-    let mut links = carrier.links.dialed.borrow_mut();
+/// Reports the end of an outbound link. A link that was closed because it was
+/// idle is no longer in the table and had no attempts, so nothing is reported.
+fn handle_outbound_end(carrier: &Rc<Carrier>, peer: id::Instance, number: u64, opened: bool) {
+    let mut links = carrier.links.outbound.borrow_mut();
     if links.get(&peer).is_none_or(|link| link.number != number) {
         return;
     }
     links.remove(&peer);
     drop(links);
     carrier.count(Counter::LinkBroken);
-    // No frame has left this node over a link that was not made, so its
-    // attempts were not run. They must not be told as broken afterwards: a
-    // retry may be on its way to the same peer already, over the next link.
+    // If the link was never opened, no frame was sent over it, so its attempts
+    // were not run. They must not be reported as lost later: a retry may already
+    // be under way to the same peer over the next link.
     let unsent = match opened {
         true => Vec::new(),
         false => carrier.attempts_of(&peer),
@@ -244,24 +250,27 @@
     }
 }
 
-/// Decodes the frames of a link and hands them on.
-fn taker(
+/// Returns the handler that decodes the frames of a link and processes them.
+fn frame_handler(
     carrier: &Rc<Carrier>,
     peer: &id::Instance,
-    accepted: bool,
+    inbound: bool,
 ) -> Rc<dyn Fn(Bytes) -> Result<()>> {
     let (carrier, peer) = (carrier.clone(), peer.clone());
     Rc::new(move |bytes| {
-        let taken = Frame::decode(&bytes).and_then(|frame| {
-            let wrong = crate::carrier::is_for_inbound(&frame) != accepted;
-            if wrong && !matches!(frame, Frame::Control(_)) {
-                return Err(Error::new(Fault::Frame, "a frame came the wrong way"));
+        let received = Frame::decode(&bytes).and_then(|frame| {
+            let wrong_direction = crate::carrier::is_for_inbound(&frame) != inbound;
+            if wrong_direction && !matches!(frame, Frame::Control(_)) {
+                return Err(Error::new(
+                    Fault::Frame,
+                    "received a frame of the wrong direction",
+                ));
             }
             carrier.receive(&peer, frame)
         });
-        if let Err(error) = &taken {
+        if let Err(error) = &received {
             log::warn!(peer:% = peer, code = error.number(); "link closed: {}", error.reason());
         }
-        taken
+        received
     })
 }
