--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -59,7 +59,7 @@
         Side, //
     },
     id,
-    intake::After,
+    intake::Cleanup,
     interface::Interface,
     links::Links,
     member,
@@ -392,13 +392,13 @@
             let Some(event) = self.queue.borrow_mut().pop_front() else {
                 break;
             };
-            let after = After::of(&event);
+            let cleanup = Cleanup::after(&event);
             let now = Clock.now();
             self.core.borrow_mut().on(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.act(action);
             }
-            self.clean(after);
+            self.clean_up(cleanup);
         }
         self.busy.set(false);
     }
--- a/src/process/intake.rs
+++ b/src/process/intake.rs
@@ -151,25 +151,25 @@
     }
 
     /// Ends what the sockets hold for something that has ended.
-    pub(crate) fn clean(&self, after: After) {
-        match after {
-            After::Nothing => {}
-            After::Attempt(request) => self.forget_attempt(request),
-            After::Cancelled(request) => {
+    pub(crate) fn clean_up(&self, cleanup: Cleanup) {
+        match cleanup {
+            Cleanup::Nothing => {}
+            Cleanup::Attempt(request) => self.forget_attempt(request),
+            Cleanup::Cancelled(request) => {
                 let waits = |running: &Running| running.abort.is_none();
                 if self.running.borrow().get(&request).is_some_and(waits) {
                     self.forget_running(request);
                 }
             }
-            After::Ended(request) => self.forget_running(request),
-            After::Broken(peer) => {
+            Cleanup::Ended(request) => self.forget_running(request),
+            Cleanup::Broken(peer) => {
                 let mut attempts = self.attempts.borrow_mut();
                 let lost = attempts.extract_if(|_, attempt| attempt.peer == peer);
                 let lost: Vec<_> = lost.collect();
                 drop(attempts);
                 lost.into_iter().for_each(|(_, attempt)| attempt.end());
             }
-            After::Lost(peer) => {
+            Cleanup::Lost(peer) => {
                 let waits = |running: &Running| running.abort.is_none() && running.peer == peer;
                 let mut running = self.running.borrow_mut();
                 running.retain(|_, running| !waits(running));
@@ -202,7 +202,7 @@
 }
 
 /// What is cleaned up once the decisions have seen an event.
-pub(crate) enum After {
+pub(crate) enum Cleanup {
     Nothing,
     Attempt(id::Request),
     Cancelled(id::Request),
@@ -211,8 +211,8 @@
     Lost(id::Instance),
 }
 
-impl After {
-    pub(crate) fn of(event: &Event) -> Self {
+impl Cleanup {
+    pub(crate) fn after(event: &Event) -> Self {
         match event {
             Event::Frame(_, Frame::Finish { request, .. } | Frame::Refuse { request, .. }) => {
                 Self::Attempt(*request)
