--- a/src/process/intake.rs
+++ b/src/process/intake.rs
@@ -1,5 +1,5 @@
-//! Takes what other nodes send: frames of requests and parts of bodies, and
-//! cleans up once the decisions have seen an end.
+//! Receives frames from other nodes, passes body chunks to their streams, and
+//! releases the streams of a request after the core has processed its end.
 
 use std::rc::Rc;
 
@@ -29,11 +29,11 @@
 };
 
 impl Carrier {
-    /// Takes a frame from a node, this one included.
+    /// Processes a frame from a node, which may be this node itself.
     ///
     /// # Errors
     ///
-    /// When the peer broke the protocol, so that its link has to be closed.
+    /// Fails if the peer violated the protocol. Its link must then be closed.
     pub(crate) fn receive(&self, peer: &id::Instance, mut frame: Frame) -> Result<()> {
         match &mut frame {
             Frame::Attempt {
@@ -45,7 +45,7 @@
                 ..
             } => {
                 if self.running.borrow().contains_key(request) {
-                    return Err(Error::new(Fault::Frame, "an attempt came twice"));
+                    return Err(Error::new(Fault::Frame, "received an attempt twice"));
                 }
                 let head = std::mem::take(head);
                 let inlet = self.inlet(peer, *request, Side::Request);
@@ -85,7 +85,7 @@
                 side,
                 bytes,
             } => {
-                if let Some(outlet) = self.outlet(peer, *request, *side) {
+                if let Some(outlet) = self.find_outlet(peer, *request, *side) {
                     outlet.grant(*bytes);
                 }
                 return Ok(());
@@ -101,6 +101,7 @@
         Ok(())
     }
 
+    /// Passes a chunk, the end or the abort of a body to its receiving stream.
     fn receive_body(&self, peer: &id::Instance, frame: Frame) {
         let (Frame::Chunk { request, side, .. }
         | Frame::End { request, side, .. }
@@ -108,7 +109,7 @@
         else {
             return;
         };
-        let Some(inlet) = self.receiver(peer, request, side) else {
+        let Some(inlet) = self.find_inlet(peer, request, side) else {
             return self.count(Counter::Late);
         };
         match frame {
@@ -118,8 +119,13 @@
         }
     }
 
-    /// The receiving end of a body that the peer sends.
-    fn receiver(&self, peer: &id::Instance, request: id::Request, side: Side) -> Option<Rc<Inlet>> {
+    /// Returns the receiving end of a body that the peer sends.
+    fn find_inlet(
+        &self,
+        peer: &id::Instance,
+        request: id::Request,
+        side: Side,
+    ) -> Option<Rc<Inlet>> {
         match side {
             Side::Request => {
                 let running = self.running.borrow();
@@ -134,8 +140,13 @@
         }
     }
 
-    /// The sending end of a body that the peer receives.
-    fn outlet(&self, peer: &id::Instance, request: id::Request, side: Side) -> Option<Rc<Outlet>> {
+    /// Returns the sending end of a body that the peer receives.
+    fn find_outlet(
+        &self,
+        peer: &id::Instance,
+        request: id::Request,
+        side: Side,
+    ) -> Option<Rc<Outlet>> {
         match side {
             Side::Request => {
                 let attempts = self.attempts.borrow();
@@ -150,40 +161,45 @@
         }
     }
 
-    /// Ends what the sockets hold for something that has ended.
+    /// Releases the attempts and running requests that have ended, with their body
+    /// streams.
     pub(crate) fn clean_up(&self, cleanup: Cleanup) {
         match cleanup {
             Cleanup::Nothing => {}
             Cleanup::Attempt(request) => self.forget_attempt(request),
-            Cleanup::Cancelled(request) => {
-                let waits = |running: &Running| running.abort.is_none();
-                if self.running.borrow().get(&request).is_some_and(waits) {
+            Cleanup::CancelledRequest(request) => {
+                let not_started = |running: &Running| running.abort.is_none();
+                if self.running.borrow().get(&request).is_some_and(not_started) {
                     self.forget_running(request);
                 }
             }
-            Cleanup::Ended(request) => self.forget_running(request),
-            Cleanup::Broken(peer) => {
+            Cleanup::EndedRequest(request) => self.forget_running(request),
+            Cleanup::OutboundLink(peer) => {
                 let mut attempts = self.attempts.borrow_mut();
                 let lost = attempts.extract_if(|_, attempt| attempt.peer == peer);
                 let lost: Vec<_> = lost.collect();
                 drop(attempts);
-                lost.into_iter().for_each(|(_, attempt)| attempt.end());
+                lost.into_iter()
+                    .for_each(|(_, attempt)| attempt.close_bodies());
             }
-            Cleanup::Lost(peer) => {
-                let waits = |running: &Running| running.abort.is_none() && running.peer == peer;
+            Cleanup::InboundLink(peer) => {
+                let not_started =
+                    |running: &Running| running.abort.is_none() && running.peer == peer;
                 let mut running = self.running.borrow_mut();
-                running.retain(|_, running| !waits(running));
+                running.retain(|_, running| !not_started(running));
             }
         }
     }
 
+    /// Removes an attempt that this node sent and ends its bodies.
     pub(crate) fn forget_attempt(&self, request: id::Request) {
         let attempt = self.attempts.borrow_mut().remove(&request);
         if let Some(attempt) = attempt {
-            attempt.end();
+            attempt.close_bodies();
         }
     }
 
+    /// Removes a request that this node runs for a peer and ends its bodies.
     pub(crate) fn forget_running(&self, request: id::Request) {
         let running = self.running.borrow_mut().remove(&request);
         if let Some(running) = running {
@@ -194,34 +210,40 @@
 }
 
 impl Attempt {
-    /// Nothing more comes or goes. A body that is not whole was cut.
-    pub(crate) fn end(&self) {
+    /// Ends both bodies. A body that is not complete counts as truncated.
+    pub(crate) fn close_bodies(&self) {
         self.inlet.cut();
         self.outlet.close();
     }
 }
 
-/// What is cleaned up once the decisions have seen an event.
+/// The attempts and requests to release after the core has processed an event.
 pub(crate) enum Cleanup {
     Nothing,
+    /// The attempt that this node sent for the request.
     Attempt(id::Request),
-    Cancelled(id::Request),
-    Ended(id::Request),
-    Broken(id::Instance),
-    Lost(id::Instance),
+    /// The cancelled request, unless the upstream has begun to run it.
+    CancelledRequest(id::Request),
+    /// The request, which this node has finished running.
+    EndedRequest(id::Request),
+    /// All attempts that were sent over the lost outbound link to a peer.
+    OutboundLink(id::Instance),
+    /// All requests from the lost inbound link of a peer that have not started.
+    InboundLink(id::Instance),
 }
 
 impl Cleanup {
+    /// Returns what to release after an event.
     pub(crate) fn after(event: &Event) -> Self {
         match event {
             Event::Frame(_, Frame::Finish { request, .. } | Frame::Refuse { request, .. }) => {
                 Self::Attempt(*request)
             }
-            Event::Frame(_, Frame::Cancel { request }) => Self::Cancelled(*request),
+            Event::Frame(_, Frame::Cancel { request }) => Self::CancelledRequest(*request),
             Event::AttemptUnsent(request) => Self::Attempt(*request),
-            Event::AttemptEnded(request, _) => Self::Ended(*request),
-            Event::OutboundLinkLost(peer) => Self::Broken(peer.clone()),
-            Event::InboundLinkLost(peer) => Self::Lost(peer.clone()),
+            Event::AttemptEnded(request, _) => Self::EndedRequest(*request),
+            Event::OutboundLinkLost(peer) => Self::OutboundLink(peer.clone()),
+            Event::InboundLinkLost(peer) => Self::InboundLink(peer.clone()),
             _ => Self::Nothing,
         }
     }
