--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -587,7 +587,7 @@
 
     fn dial(&self, peer: &id::Instance) {
         if let Some(carrier) = self.weak.upgrade() {
-            Links::ensure(&carrier, peer);
+            Links::ensure_outbound(&carrier, peer);
         }
     }
 
--- a/src/process/export.rs
+++ b/src/process/export.rs
@@ -138,7 +138,7 @@
         self.limit
             .record(named.map_or(f64::INFINITY, Rate::as_f64), &[]);
         let (calls, sent, received) = self.carrier.load();
-        let (dialed, accepted) = self.carrier.links.len();
+        let (dialed, accepted) = self.carrier.links.counts();
         for (kind, count) in [
             ("calls", calls),
             ("attempts_sent", sent),
@@ -163,7 +163,7 @@
     fn status(&self) -> Response<BoxBody> {
         let carrier = &self.carrier;
         let (calls, sent, received) = carrier.load();
-        let (dialed, accepted) = carrier.links.len();
+        let (dialed, accepted) = carrier.links.counts();
         let report = carrier
             .core_mut()
             .report(Clock.now(), id::Request::default());
--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -55,7 +55,7 @@
 
 impl Links {
     /// Returns the number of outbound and of inbound links.
-    pub(crate) fn len(&self) -> (usize, usize) {
+    pub(crate) fn counts(&self) -> (usize, usize) {
         (self.outbound.borrow().len(), self.inbound.borrow().len())
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Dials a peer unless there is an outbound link to it.
-    pub(crate) fn ensure(carrier: &Rc<Carrier>, peer: &id::Instance) {
+    pub(crate) fn ensure_outbound(carrier: &Rc<Carrier>, peer: &id::Instance) {
         let mut links = carrier.links.outbound.borrow_mut();
         links
             .entry(peer.clone())
@@ -108,9 +108,8 @@
         self.inbound.borrow_mut().clear();
     }
 
-    /// Reports all links as lost and forgets them. Their queued frames count as
-    /// lost.
-    pub(crate) fn cut(&self, carrier: &Carrier) {
+    /// Simulates a network fault: drops all links and reports them as lost.
+    pub(crate) fn cut_all(&self, carrier: &Carrier) {
         let outbound: Vec<_> = self.outbound.borrow_mut().drain().collect();
         let inbound: Vec<_> = self.inbound.borrow_mut().drain().collect();
         outbound
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -328,7 +328,7 @@
 
     /// Links that this node made, and that others made to it.
     pub fn links(&self) -> (usize, usize) {
-        self.carrier.links.len()
+        self.carrier.links.counts()
     }
 
     /// Whether it was told to stop.
@@ -338,7 +338,7 @@
 
     /// Breaks every link at once, as a network fault would.
     pub fn cut_links(&self) {
-        self.carrier.links.cut(&self.carrier);
+        self.carrier.links.cut_all(&self.carrier);
     }
 
     /// Something to stop the node with, while [`Server::wait`] holds it.
