--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -403,7 +403,7 @@
             close: false,
         });
     }
-    let hold = carrier.interface.held_body.as_u64().min(limit);
+    let hold = carrier.interface.max_buffered_body.as_u64().min(limit);
     Ok(Some(Incoming {
         held: BytesMut::with_capacity(declared.unwrap_or(0).min(hold) as usize),
         feed: None,
--- a/src/process/announce.rs
+++ b/src/process/announce.rs
@@ -21,7 +21,7 @@
         Result, //
     },
     id,
-    interface::Notice, //
+    interface::AnnouncementRequest, //
 };
 
 /// Silence after which a service counts as gone, in its own heartbeats. Words
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// When the body is no announcement.
-    pub fn read(notice: Notice<'_>) -> Result<Self> {
+    pub fn read(notice: AnnouncementRequest<'_>) -> Result<Self> {
         serde_json::from_slice(notice.body)
             .map_err(|error| Error::new(Code::Field, error.to_string()))
     }
--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -24,7 +24,7 @@
         Time, //
     },
     inbound::End,
-    interface::Notice,
+    interface::AnnouncementRequest,
     node::Event,
 };
 
@@ -52,7 +52,7 @@
     if !matches!(tokio::time::timeout(TIMEOUT.to_std(), read).await, Ok(true)) {
         return empty(StatusCode::BAD_REQUEST);
     }
-    let notice = Notice {
+    let notice = AnnouncementRequest {
         method: request.method().as_str(),
         path: request.path(),
         body: &body,
--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -211,7 +211,7 @@
                 settings.upstream,
                 settings.limits.upstream_idle,
                 interface.names,
-                interface.closes,
+                interface.close_delimited_answers,
             ),
             socket,
             datagrams: Cell::default(),
--- a/src/process/interface.rs
+++ b/src/process/interface.rs
@@ -37,7 +37,7 @@
 
 /// A request on the listener for announcements.
 #[derive(Clone, Copy, Debug)]
-pub struct Notice<'a> {
+pub struct AnnouncementRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The path.
@@ -61,18 +61,18 @@
     /// # Errors
     ///
     /// Fails if the announcement does not describe a usable upstream.
-    pub announcement: fn(Notice<'_>) -> Result<Announcement>,
+    pub announcement: fn(AnnouncementRequest<'_>) -> Result<Announcement>,
     /// The path of readiness checks: whether callers may be sent to this node.
     pub ready_path: &'static str,
     /// Whether an upstream may delimit an answer by closing the connection. The
     /// answer is complete if the connection closes cleanly.
-    pub closes: bool,
+    pub close_delimited_answers: bool,
     /// Answers up to this size are buffered until they are complete. A truncated
     /// answer can then still be retried, and is never reported as a success.
-    pub held_answer: Size,
+    pub max_buffered_answer: Size,
     /// Request bodies up to this size are buffered until they are complete, and
     /// can be sent again on a retry.
-    pub held_body: Size,
+    pub max_buffered_body: Size,
 }
 
 impl Interface {
@@ -84,9 +84,9 @@
             configuration: None,
             announcement: Announcement::read,
             ready_path: "/health",
-            closes: false,
-            held_answer: Size::bytes(0),
-            held_body: Size::kib(64),
+            close_delimited_answers: false,
+            max_buffered_answer: Size::bytes(0),
+            max_buffered_body: Size::kib(64),
         }
     }
 }
--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -311,7 +311,7 @@
     /// Buffers an answer up to its end or the buffer limit. If the answer is cut
     /// off before that, no part of it has been relayed.
     async fn buffer_answer(&self, answer: &mut Answer) -> Result<Vec<Bytes>, Cut> {
-        let limit = self.interface.held_answer.as_u64();
+        let limit = self.interface.max_buffered_answer.as_u64();
         let mut chunks = Vec::new();
         let mut size = 0;
         while size < limit {
--- a/tests/platform/heartbeat.rs
+++ b/tests/platform/heartbeat.rs
@@ -11,7 +11,7 @@
         Span,
         Time, //
     },
-    interface::Notice,
+    interface::AnnouncementRequest,
     platform::heartbeat, //
 };
 use serde_json::{
@@ -31,7 +31,7 @@
 
 fn read(path: &str, body: &[u8]) -> Result<Announcement, bluebellswitch::Error> {
     let method = "POST";
-    heartbeat::read(Notice { method, path, body })
+    heartbeat::read(AnnouncementRequest { method, path, body })
 }
 
 #[test]
@@ -77,7 +77,7 @@
     read("/api/Instances.Heartbeat/", b"{}").expect_err("no server");
     read("/api/else", b"{}").expect_err("another call");
     let (method, path) = ("GET", BEAT);
-    heartbeat::read(Notice {
+    heartbeat::read(AnnouncementRequest {
         method,
         path,
         body: b"",
