--- a/src/connection/door.rs
+++ b/src/connection/door.rs
@@ -418,7 +418,7 @@
             close: false,
         });
     }
-    let buffer_limit = carrier.interface.held_body.as_u64().min(body_limit);
+    let buffer_limit = carrier.interface.max_buffered_body.as_u64().min(body_limit);
     Ok(Some(Incoming {
         buffered: BytesMut::with_capacity(declared_length.unwrap_or(0).min(buffer_limit) as usize),
         body_sender: None,
--- a/src/process/announce.rs
+++ b/src/process/announce.rs
@@ -22,7 +22,7 @@
         Result, //
     },
     id,
-    interface::Notice, //
+    interface::AnnouncementRequest, //
 };
 
 /// Number of heartbeat intervals without a sign of life after which an upstream
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Returns an error if the body is not a valid announcement.
-    pub fn read(notice: Notice<'_>) -> Result<Self> {
+    pub fn read(notice: AnnouncementRequest<'_>) -> Result<Self> {
         serde_json::from_slice(notice.body)
             .map_err(|error| Error::new(Code::Field, error.to_string()))
     }
--- a/src/process/beside.rs
+++ b/src/process/beside.rs
@@ -24,7 +24,7 @@
         Time, //
     },
     inbound::End,
-    interface::Notice,
+    interface::AnnouncementRequest,
     node::Event,
 };
 
@@ -56,7 +56,7 @@
     ) {
         return empty_response(StatusCode::BAD_REQUEST);
     }
-    let notice = Notice {
+    let notice = AnnouncementRequest {
         method: request.method().as_str(),
         path: request.path(),
         body: &body,
--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -60,7 +60,7 @@
         Side, //
     },
     id,
-    intake::After,
+    intake::Cleanup,
     interface::Interface,
     links::Links,
     member,
@@ -215,7 +215,7 @@
                 settings.upstream,
                 settings.limits.upstream_idle,
                 interface.names,
-                interface.closes,
+                interface.close_delimited_answers,
             ),
             socket,
             datagrams: Cell::default(),
@@ -399,13 +399,13 @@
             let Some(event) = self.queue.borrow_mut().pop_front() else {
                 break;
             };
-            let after = After::of(&event);
+            let cleanup = Cleanup::after(&event);
             let now = Clock.now();
             self.core.borrow_mut().on(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.execute(action);
             }
-            self.clean(after);
+            self.clean_up(cleanup);
         }
         self.dispatching.set(false);
     }
@@ -551,9 +551,9 @@
             return;
         };
         if is_for_inbound(&frame) {
-            Links::dialed(&carrier, peer, &frame);
+            Links::send_outbound(&carrier, peer, &frame);
         } else {
-            self.links.accepted(peer, &frame);
+            self.links.send_inbound(peer, &frame);
         }
     }
 
@@ -600,7 +600,7 @@
 
     fn dial(&self, peer: &id::Instance) {
         if let Some(carrier) = self.weak.upgrade() {
-            Links::ensure(&carrier, peer);
+            Links::ensure_outbound(&carrier, peer);
         }
     }
 
--- a/src/process/export.rs
+++ b/src/process/export.rs
@@ -142,7 +142,7 @@
         self.named_limit
             .record(named_limit.map_or(f64::INFINITY, Rate::as_f64), &[]);
         let (calls, sent, received) = self.carrier.load();
-        let (dialed, accepted) = self.carrier.links.len();
+        let (dialed, accepted) = self.carrier.links.counts();
         for (kind, count) in [
             ("calls", calls),
             ("attempts_sent", sent),
@@ -167,7 +167,7 @@
     fn status(&self) -> Response<BoxBody> {
         let carrier = &self.carrier;
         let (calls, sent, received) = carrier.load();
-        let (dialed, accepted) = carrier.links.len();
+        let (dialed, accepted) = carrier.links.counts();
         let report = carrier
             .core_mut()
             .report(Clock.now(), id::Request::default());
--- a/src/process/server.rs
+++ b/src/process/server.rs
@@ -343,7 +343,7 @@
 
     /// Returns the numbers of outgoing and incoming links.
     pub fn links(&self) -> (usize, usize) {
-        self.carrier.links.len()
+        self.carrier.links.counts()
     }
 
     /// Returns whether the node is draining.
@@ -353,7 +353,7 @@
 
     /// Breaks all links at once, as a network fault would.
     pub fn cut_links(&self) {
-        self.carrier.links.cut(&self.carrier);
+        self.carrier.links.cut_all(&self.carrier);
     }
 
     /// Returns a handle that controls the node while [`Server::wait`] owns the
