--- a/src/connection/message.rs
+++ b/src/connection/message.rs
@@ -1,8 +1,9 @@
-//! What nodes tell each other beside requests.
+//! Control messages between nodes.
 //!
-//! A message that fits goes as one authenticated UDP datagram, which may be
-//! lost, doubled or overtaken; every machine that sends one expects that. A
-//! larger one goes over a link, inside [`crate::frame::Frame::Control`].
+//! A message that fits is sent as one authenticated UDP datagram, which may be
+//! lost, duplicated or reordered; every state machine that sends messages
+//! tolerates that. A larger message is sent over a link, inside
+//! [`crate::frame::Frame::Control`].
 
 use serde::{
     Deserialize,
@@ -20,43 +21,43 @@
     record, //
 };
 
-/// The largest datagram, in bytes, so that no network splits it.
+/// The largest datagram, in bytes, small enough to avoid IP fragmentation.
 pub const DATAGRAM_LIMIT: usize = 1400;
 
-/// One message of one subsystem.
+/// A control message, with one variant per subsystem.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Membership.
+    /// Cluster membership.
     Member(member::Message),
-    /// Configuration.
+    /// Adoption of configuration versions.
     Adoption(adoption::Message),
-    /// Rights that one node holds at a time.
+    /// Leases, each held by at most one node at a time.
     Lease(lease::Message),
-    /// Rates.
+    /// Rate quotas.
     Quota(quota::Message),
     /// Tokens of token servers.
     Bank(quota::bank::Message),
-    /// The store, as one node tells it to another.
+    /// Store contents relayed from one node to another.
     Feed(feed::Message),
     /// Records of idempotent requests.
     Record(record::Message),
 }
 
 impl Message {
-    /// Writes the message as CBOR.
+    /// Encodes the message as CBOR.
     ///
     /// # Errors
     ///
-    /// When it is larger than a frame may be.
+    /// If the encoding exceeds [`frame::LIMIT`].
     pub fn encode(&self) -> Result<Vec<u8>> {
         frame::encode(self, frame::LIMIT)
     }
 
-    /// Reads a message from a datagram's CBOR.
+    /// Decodes a message from the CBOR of a datagram.
     ///
     /// # Errors
     ///
-    /// When the bytes are no message.
+    /// If the bytes exceed [`DATAGRAM_LIMIT`] or aren't exactly one message.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         frame::decode(bytes, DATAGRAM_LIMIT)
     }
--- a/src/connection/mod.rs
+++ b/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as one connection.
+//! Connections to callers, to upstreams and between nodes: framing, body flow
+//! control, authentication and header filtering.
 
 pub(crate) mod body;
 pub(crate) mod caller;
--- a/src/connection/refusal.rs
+++ b/src/connection/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers read them.
+//! HTTP responses that tell callers why a request was refused.
 
 use actix_http::{
     ConnectionType,
@@ -18,7 +18,7 @@
     },
 };
 
-/// The body of a refusal.
+/// The JSON body of a refusal.
 #[derive(Serialize)]
 struct Body {
     code: u16,
@@ -30,18 +30,19 @@
 }
 
 impl Body {
-    fn of(code: Code, wait: Option<Span>) -> Self {
+    fn new(code: Code, retry_after: Option<Span>) -> Self {
         Self {
             code: code as u16,
             name: code.name(),
             text: code.text(),
             verdict: verdict(code),
-            retry_after_ms: wait.map(|wait| wait.as_ms()),
+            retry_after_ms: retry_after.map(|delay| delay.as_ms()),
         }
     }
 }
 
-/// Whether a request ended by this code may have run, in words.
+/// The name, in refusals, of whether a request that ended with this code may
+/// have run.
 pub(crate) const fn verdict(code: Code) -> &'static str {
     match code.verdict() {
         Verdict::NotRun => "not-run",
@@ -49,30 +50,32 @@
     }
 }
 
-/// The HTTP answer that carries a code, and tells when to come back.
-pub(crate) fn response(code: Code, wait: Option<Span>) -> Response<BoxBody> {
-    let body = Body::of(code, wait);
+/// Builds the response for a code, with `retry-after` in whole seconds if a
+/// delay is given.
+pub(crate) fn response(code: Code, retry_after: Option<Span>) -> Response<BoxBody> {
+    let body = Body::new(code, retry_after);
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = Response::build(status);
     response.insert_header(("content-type", "application/json"));
     response.insert_header(("cache-control", "no-store"));
-    if let Some(wait) = wait {
-        let seconds = wait.as_ms().div_ceil(1000).max(1);
+    if let Some(delay) = retry_after {
+        let seconds = delay.as_ms().div_ceil(1000).max(1);
         response.insert_header(("retry-after", seconds.to_string()));
     }
     let text = serde_json::to_string(&body).unwrap_or_default();
     response.body(text).map_into_boxed_body()
 }
 
-/// Writes the answer that carries a code.
+/// Writes the response for a code to an output buffer, with `retry-after` in
+/// seconds with three decimals if a delay is given.
 pub(crate) fn write(
     output: &mut BytesMut,
     code: Code,
     status: u16,
-    wait: Option<Span>,
+    retry_after: Option<Span>,
     close: bool,
 ) {
-    let body = serde_json::to_string(&Body::of(code, wait)).unwrap_or_default();
+    let body = serde_json::to_string(&Body::new(code, retry_after)).unwrap_or_default();
     write_status_line(output, status);
     let mut line = |name: &str, value: &str| {
         output.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -80,8 +83,8 @@
     line("content-type", "application/json");
     line("cache-control", "no-store");
     line("content-length", &body.len().to_string());
-    if let Some(wait) = wait {
-        line("retry-after", &format!("{:.3}", wait.as_secs_f64()));
+    if let Some(delay) = retry_after {
+        line("retry-after", &format!("{:.3}", delay.as_secs_f64()));
     }
     if close {
         line("connection", "close");
@@ -90,9 +93,10 @@
     output.extend_from_slice(body.as_bytes());
 }
 
-/// The same, for a request whose rest will not be read.
-pub(crate) fn last(code: Code, wait: Option<Span>) -> Response<BoxBody> {
-    let mut response = response(code, wait);
+/// Like [`response`], but closes the connection, for a request whose remaining
+/// body won't be read.
+pub(crate) fn last(code: Code, retry_after: Option<Span>) -> Response<BoxBody> {
+    let mut response = response(code, retry_after);
     response
         .head_mut()
         .set_connection_type(ConnectionType::Close);
--- a/src/connection/socket.rs
+++ b/src/connection/socket.rs
@@ -1,11 +1,11 @@
-//! Connections that notice when their other end is gone.
+//! TCP options that detect a dead peer.
 //!
-//! Guards against a connection that goes silent without a reset: what was sent
-//! over it would wait until its deadline, and so would everything sent after it,
-//! while a new connection to the same place works. Only unanswered bytes show
-//! it, so the system is asked to look for them: it probes a quiet connection and
-//! gives up one whose bytes nobody acknowledges. That costs the process nothing,
-//! and it holds for a peer that is busy, as its system answers for it.
+//! A connection can go silent without a reset. Requests on it, and all later
+//! ones, would then wait until their deadlines although a new connection to the
+//! same address works. Only unacknowledged bytes reveal this, so detection is
+//! left to the kernel: keepalive probes idle connections, and the user timeout
+//! closes those whose data stays unacknowledged. This costs the process nothing
+//! and doesn't misjudge a busy peer, because the peer's kernel acknowledges.
 
 use std::{
     io,
@@ -15,28 +15,29 @@
 use rustix::net::sockopt;
 use tokio::net::TcpStream;
 
-/// How long a connection is quiet before it is probed.
-const QUIET: Duration = Duration::from_secs(1);
-/// The time between two probes, in whole seconds as the system takes it.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is broken.
-const PROBES: u32 = 2;
-/// How long sent bytes may go without an acknowledgement, in milliseconds. On a
-/// link that loses three packets in a hundred five in a row are lost once in
-/// forty million times; on one that is choked packets wait about a second.
-const UNANSWERED_MS: u32 = 2500;
+/// Idle time before the first keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Time between keepalive probes. The kernel takes whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes after which the kernel closes the connection.
+const KEEPALIVE_PROBES: u32 = 2;
+/// How long sent data may stay unacknowledged, in milliseconds. At 3 % packet
+/// loss, five losses in a row occur once in forty million times; on a congested
+/// link packets are delayed by about a second.
+const USER_TIMEOUT_MS: u32 = 2500;
 
-/// Prepares a connection that carries requests.
+/// Sets `TCP_NODELAY`, keepalive and the user timeout on a connection that
+/// carries requests.
 ///
 /// # Errors
 ///
-/// When the connection is broken already.
+/// If an option can't be set, for example because the connection is closed.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, QUIET)?;
-    sockopt::set_tcp_keepintvl(stream, INTERVAL)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
-    sockopt::set_tcp_user_timeout(stream, UNANSWERED_MS)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
+    sockopt::set_tcp_user_timeout(stream, USER_TIMEOUT_MS)?;
     Ok(())
 }
