--- a/src/connection/link.rs
+++ b/src/connection/link.rs
@@ -1,15 +1,15 @@
 //! Links between nodes: WebSocket with CBOR frames, both ends authenticated.
 //!
-//! A node sends its attempts over the link that it dialed itself, and the
-//! answers come back over that same link. So two nodes that call each other
-//! have two links, and a link that breaks puts exactly the attempts in doubt
-//! that went over it.
+//! A node sends its attempts over the link that it dialed itself and receives
+//! the answers over the same link. So two nodes that call each other have two
+//! links, and when a link breaks, only the attempts sent over it have an unknown
+//! outcome.
 //!
-//! The handshake runs under small limits of its own. Each end sends a random
-//! challenge, and shows that it knows the fleet secret by an HMAC over both
-//! challenges and both names, under a label that differs by role, so that no
-//! proof can be turned back at its maker. The dialer sends no frame before the
-//! accepter has agreed.
+//! The handshake has its own, smaller size limits. Each end sends a random
+//! challenge and proves that it knows the fleet secret by an HMAC over both
+//! challenges and both names. The label of the HMAC differs by role, which
+//! prevents reflection attacks. The dialer sends no frame before the accepter
+//! has confirmed the handshake.
 
 use std::{
     net::SocketAddr,
@@ -57,22 +57,22 @@
     id, //
 };
 
-/// The largest message of the handshake, in bytes.
-const HELLO_LIMIT: usize = 1024;
+/// The largest handshake message, in bytes.
+const HANDSHAKE_LIMIT: usize = 1024;
 
-/// Bytes read from a link at once. Every link keeps a buffer of this size, so
-/// the library's 128 KiB would cost a node with a hundred links 12 MiB.
+/// Size of a link's read buffer, in bytes. Every link keeps one, so with the
+/// library's default of 128 KiB a hundred links would take 12 MiB.
 const READ_BUFFER: usize = 16 << 10;
 
-/// Time for a link to be dialed and authenticated.
+/// Time limit for dialing and authenticating a link.
 pub(crate) const HANDSHAKE_TIMEOUT: Span = Span::from_secs(2);
 
-/// Frames that are written before the socket is flushed.
-const BATCH: usize = 64;
+/// Most queued frames added to a write before the socket is flushed.
+const FLUSH_BATCH: usize = 64;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// A dialer's first word.
+/// The dialer's first handshake message.
 #[derive(Serialize, Deserialize)]
 struct Hello {
     instance: id::Instance,
@@ -80,7 +80,7 @@
     challenge: Vec<u8>,
 }
 
-/// The accepter's challenge, with its own proofs.
+/// The accepter's challenge and proofs.
 #[derive(Serialize, Deserialize)]
 struct Reply {
     instance: id::Instance,
@@ -95,19 +95,20 @@
     proofs: Vec<Vec<u8>>,
 }
 
-/// The accepter agrees.
+/// The accepter's confirmation, which ends the handshake.
 #[derive(Serialize, Deserialize)]
 struct Welcome {}
 
-/// Who takes part in a handshake, as both ends sign it.
-struct Parties {
+/// The names and challenges of a handshake, over which both ends compute their
+/// proofs.
+struct Transcript {
     dialer: id::Instance,
     accepter: id::Instance,
     challenge: Vec<u8>,
     reply: Vec<u8>,
 }
 
-impl Parties {
+impl Transcript {
     fn parts(&self) -> [&[u8]; 4] {
         [
             self.dialer.as_str().as_bytes(),
@@ -118,50 +119,58 @@
     }
 }
 
-fn nonce() -> Vec<u8> {
+fn random_challenge() -> Vec<u8> {
     let mut bytes = vec![0; 32];
     rand::rng().fill_bytes(&mut bytes);
     bytes
 }
 
-fn config(limit: usize) -> WebSocketConfig {
+fn websocket_config(limit: usize) -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(READ_BUFFER.min(limit))
         .max_message_size(Some(limit))
         .max_frame_size(Some(limit))
 }
 
-fn broken(error: impl std::fmt::Display) -> Error {
+fn unreachable_error(error: impl std::fmt::Display) -> Error {
     Error::new(Code::Unreachable, error.to_string())
 }
 
-fn stranger() -> Error {
+fn authentication_error() -> Error {
     Error::new(Code::Secret, "the peer does not know the fleet secret")
 }
 
-async fn say<T: Serialize>(socket: &mut Socket, value: &T) -> Result<()> {
-    let bytes = frame::encode(value, HELLO_LIMIT)?;
-    socket.send(Message::binary(bytes)).await.map_err(broken)
+async fn send_message<T: Serialize>(socket: &mut Socket, value: &T) -> Result<()> {
+    let bytes = frame::encode(value, HANDSHAKE_LIMIT)?;
+    socket
+        .send(Message::binary(bytes))
+        .await
+        .map_err(unreachable_error)
 }
 
-async fn hear<T: DeserializeOwned>(socket: &mut Socket) -> Result<T> {
+async fn receive_message<T: DeserializeOwned>(socket: &mut Socket) -> Result<T> {
     match socket.next().await {
-        Some(Ok(Message::Binary(bytes))) => frame::decode(&bytes, HELLO_LIMIT),
-        _ => Err(stranger()),
+        Some(Ok(Message::Binary(bytes))) => frame::decode(&bytes, HANDSHAKE_LIMIT),
+        _ => Err(authentication_error()),
     }
 }
 
-/// Wraps the socket anew under the limits of an authenticated link. Nothing is
-/// lost between, as the handshake goes in lock step.
-async fn widen(socket: Socket, role: Role) -> Socket {
-    WebSocketStream::from_raw_socket(socket.into_inner(), role, Some(config(frame::LIMIT))).await
+/// Rewraps the socket with the limits of an authenticated link. No buffered bytes
+/// are lost, because the ends of a handshake send only in turn.
+async fn raise_limits(socket: Socket, role: Role) -> Socket {
+    WebSocketStream::from_raw_socket(
+        socket.into_inner(),
+        role,
+        Some(websocket_config(frame::LIMIT)),
+    )
+    .await
 }
 
-/// Makes a link to a peer at its address.
+/// Dials a peer and authenticates the link.
 ///
 /// # Errors
 ///
-/// When it cannot be reached, is another, or does not know the secret.
+/// If the peer can't be reached, has another name or doesn't know the secret.
 pub(crate) async fn dial(
     address: SocketAddr,
     me: &id::Instance,
@@ -171,75 +180,76 @@
     let stream = TcpStream::connect(address).await?;
     socket::prepare(&stream)?;
     let url = format!("ws://{address}/link");
-    let (mut socket, _) = client_async_with_config(url, stream, Some(config(HELLO_LIMIT)))
-        .await
-        .map_err(broken)?;
-    let challenge = nonce();
+    let (mut socket, _) =
+        client_async_with_config(url, stream, Some(websocket_config(HANDSHAKE_LIMIT)))
+            .await
+            .map_err(unreachable_error)?;
+    let challenge = random_challenge();
     let hello = Hello {
         instance: me.clone(),
         challenge: challenge.clone(),
     };
-    say(&mut socket, &hello).await?;
-    let reply: Reply = hear(&mut socket).await?;
+    send_message(&mut socket, &hello).await?;
+    let reply: Reply = receive_message(&mut socket).await?;
     if reply.instance != *peer {
         let reason = format!("{address} is `{}`, not `{peer}`", reply.instance);
         return Err(Error::new(Code::Unreachable, reason));
     }
-    let parties = Parties {
+    let transcript = Transcript {
         dialer: me.clone(),
         accepter: reply.instance,
         challenge,
         reply: reply.challenge,
     };
-    if !ring.verify("accept", &parties.parts(), &reply.proofs) {
-        return Err(stranger());
+    if !ring.verify("accept", &transcript.parts(), &reply.proofs) {
+        return Err(authentication_error());
     }
-    let proofs = ring.prove("dial", &parties.parts());
-    say(&mut socket, &Proof { proofs }).await?;
-    let Welcome {} = hear(&mut socket).await?;
-    Ok(widen(socket, Role::Client).await)
+    let proofs = ring.prove("dial", &transcript.parts());
+    send_message(&mut socket, &Proof { proofs }).await?;
+    let Welcome {} = receive_message(&mut socket).await?;
+    Ok(raise_limits(socket, Role::Client).await)
 }
 
-/// Accepts a link, and tells whose it is.
+/// Accepts and authenticates a link. Returns the peer's name and the socket.
 ///
 /// # Errors
 ///
-/// When the peer does not know the secret, or does not speak the protocol.
+/// If the peer doesn't know the secret or violates the protocol.
 pub(crate) async fn accept(
     stream: TcpStream,
     me: &id::Instance,
     ring: &Ring,
 ) -> Result<(id::Instance, Socket)> {
     socket::prepare(&stream)?;
-    let mut socket = accept_async_with_config(stream, Some(config(HELLO_LIMIT)))
+    let mut socket = accept_async_with_config(stream, Some(websocket_config(HANDSHAKE_LIMIT)))
         .await
-        .map_err(broken)?;
-    let hello: Hello = hear(&mut socket).await?;
-    let parties = Parties {
+        .map_err(unreachable_error)?;
+    let hello: Hello = receive_message(&mut socket).await?;
+    let transcript = Transcript {
         dialer: hello.instance,
         accepter: me.clone(),
         challenge: hello.challenge,
-        reply: nonce(),
+        reply: random_challenge(),
     };
     let reply = Reply {
         instance: me.clone(),
-        challenge: parties.reply.clone(),
-        proofs: ring.prove("accept", &parties.parts()),
+        challenge: transcript.reply.clone(),
+        proofs: ring.prove("accept", &transcript.parts()),
     };
-    say(&mut socket, &reply).await?;
-    let Proof { proofs } = hear(&mut socket).await?;
-    if !ring.verify("dial", &parties.parts(), &proofs) {
-        return Err(stranger());
+    send_message(&mut socket, &reply).await?;
+    let Proof { proofs } = receive_message(&mut socket).await?;
+    if !ring.verify("dial", &transcript.parts(), &proofs) {
+        return Err(authentication_error());
     }
-    say(&mut socket, &Welcome {}).await?;
-    Ok((parties.dialer, widen(socket, Role::Server).await))
+    send_message(&mut socket, &Welcome {}).await?;
+    Ok((transcript.dialer, raise_limits(socket, Role::Server).await))
 }
 
-/// The queue of a link's frames, already encoded.
+/// The sending end of a link's queue of encoded frames.
 pub(crate) type Queue = mpsc::UnboundedSender<Vec<u8>>;
 
-/// Carries frames both ways until the link breaks, a frame is refused, or the
-/// queue is closed.
+/// Sends queued frames and passes received ones to `take`, until the link breaks,
+/// `take` fails or the queue is closed.
 pub(crate) async fn carry(
     socket: Socket,
     queue: mpsc::UnboundedReceiver<Vec<u8>>,
@@ -272,7 +282,7 @@
         if sink.feed(Message::binary(bytes)).await.is_err() {
             return;
         }
-        for _ in 0..BATCH {
+        for _ in 0..FLUSH_BATCH {
             let Ok(bytes) = queue.try_recv() else { break };
             if sink.feed(Message::binary(bytes)).await.is_err() {
                 return;
--- a/src/connection/secret.rs
+++ b/src/connection/secret.rs
@@ -1,8 +1,9 @@
-//! Proofs that a peer knows the fleet secret.
+//! Authentication of peers by the shared fleet secret.
 //!
-//! A link proves it once, by challenge, at both ends; a datagram carries a tag
-//! of its own. A node knows up to two secrets: it shows the first and accepts
-//! both, so that a fleet goes from one to the next without an interruption.
+//! Both ends of a link authenticate once, by challenge and response; each
+//! datagram carries its own truncated HMAC. A node has up to two secrets. It
+//! tags datagrams with the first and accepts both, so that the secret of a fleet
+//! can be rotated without an interruption.
 
 use std::fmt;
 
@@ -15,36 +16,38 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// Bytes of a datagram's tag.
+/// Length of a datagram's authentication tag, in bytes.
 pub(crate) const TAG_LEN: usize = 16;
 
-/// Bytes of a proof.
+/// Length of a proof, an HMAC-SHA-256, in bytes.
 const PROOF_LEN: usize = 32;
 
-/// A text that must never be shown.
+/// A string that must never be shown; its `Debug` output hides the value.
 #[derive(Clone, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Hides a text.
+    /// Wraps a string.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Its length in bytes.
+    /// The length in bytes.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Compares in constant time, so that timing tells nothing of the text.
+    /// Compares in constant time, so that timing reveals nothing about the secret.
     pub(crate) fn is(&self, text: &str) -> bool {
         self.0.as_bytes().ct_eq(text.as_bytes()).into()
     }
 
+    /// Computes an HMAC over the label and the parts. Each part is preceded by its
+    /// length, so that different splits of the same bytes yield different HMACs.
     fn sign(&self, label: &str, parts: &[&[u8]]) -> [u8; PROOF_LEN] {
-        let mut mac =
-            Hmac::<Sha256>::new_from_slice(self.0.as_bytes()).expect("any length will do");
+        let mut mac = Hmac::<Sha256>::new_from_slice(self.0.as_bytes())
+            .expect("HMAC accepts keys of any length");
         mac.update(label.as_bytes());
         for part in parts {
             mac.update(&(part.len() as u64).to_be_bytes());
@@ -54,7 +57,7 @@
     }
 }
 
-/// In constant time, as [`Secret::is`].
+/// Compares in constant time, like [`Secret::is`].
 impl PartialEq for Secret {
     fn eq(&self, other: &Self) -> bool {
         self.is(&other.0)
@@ -69,7 +72,7 @@
     }
 }
 
-/// The secrets of the fleet, the present one first.
+/// The secrets of the fleet, the current one first.
 #[derive(Clone, Debug)]
 pub(crate) struct Ring(Vec<Secret>);
 
@@ -78,24 +81,25 @@
         Self(secrets)
     }
 
-    /// One proof by each secret, as the peer may know only one of them.
+    /// Computes one proof per secret, as the peer may know only one of them.
     pub(crate) fn prove(&self, label: &str, parts: &[&[u8]]) -> Vec<Vec<u8>> {
         let proof = |secret: &Secret| secret.sign(label, parts).to_vec();
         self.0.iter().map(proof).collect()
     }
 
-    /// Whether any of the proofs was made with a secret known here.
+    /// Whether any of the first two proofs was made with one of this node's
+    /// secrets.
     pub(crate) fn verify(&self, label: &str, parts: &[&[u8]], proofs: &[Vec<u8>]) -> bool {
         self.0.iter().any(|secret| {
-            let want = secret.sign(label, parts);
+            let expected = secret.sign(label, parts);
             proofs
                 .iter()
                 .take(2)
-                .any(|proof| want.ct_eq(proof.as_slice()).into())
+                .any(|proof| expected.ct_eq(proof.as_slice()).into())
         })
     }
 
-    /// Adds the tag to a datagram.
+    /// Appends the authentication tag to a datagram.
     pub(crate) fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(secret) = self.0.first() {
             let tag = secret.sign("datagram", &[&bytes]);
@@ -104,14 +108,14 @@
         bytes
     }
 
-    /// Removes the tag of a datagram, if it is right.
+    /// Verifies and removes the tag of a datagram. Returns `None` if it is invalid.
     pub(crate) fn open<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
-        let (text, tag) = bytes.split_at_checked(bytes.len().checked_sub(TAG_LEN)?)?;
-        let right = |secret: &Secret| -> bool {
-            secret.sign("datagram", &[text])[..TAG_LEN]
+        let (payload, tag) = bytes.split_at_checked(bytes.len().checked_sub(TAG_LEN)?)?;
+        let matches = |secret: &Secret| -> bool {
+            secret.sign("datagram", &[payload])[..TAG_LEN]
                 .ct_eq(tag)
                 .into()
         };
-        self.0.iter().any(right).then_some(text)
+        self.0.iter().any(matches).then_some(payload)
     }
 }
