--- a/src/connection/body.rs
+++ b/src/connection/body.rs
@@ -1,9 +1,9 @@
-//! Bodies on their way, with bounded memory.
+//! Flow control for bodies, which bounds the memory that they take.
 //!
-//! The sender of a body may have at most [`WINDOW`] bytes under way. The
-//! receiver grants more as it hands bytes on, so a slow reader at one end slows
-//! the writer at the other, through every hop. A body is whole only when its
-//! end mark came with the right checksum; anything else is a cut.
+//! The sender of a body may have at most [`WINDOW`] bytes in flight. The receiver
+//! grants more credit as its reader consumes bytes, so a slow reader at one end
+//! slows the writer at the other, across every hop. A body is complete only once
+//! its end mark has arrived with the right checksum; otherwise it is truncated.
 
 use std::{
     cell::{
@@ -22,16 +22,17 @@
 use bytes::Bytes;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Bytes of one body that may be under way over one hop.
+/// Flow control window: bytes of one body that may be in flight over one hop.
 pub const WINDOW: usize = 256 << 10;
 
-/// The largest chunk of a body in one frame.
+/// The largest chunk of a body in one frame, in bytes.
 pub(crate) const CHUNK: usize = 64 << 10;
 
-/// Consumed bytes that are worth a frame that grants them again.
-const GRANT: usize = WINDOW / 4;
+/// Consumed bytes after which the receiver grants credit again. Smaller grants
+/// aren't worth a frame.
+const GRANT_THRESHOLD: usize = WINDOW / 4;
 
-/// A body that will not become whole.
+/// The error for a truncated body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the body was cut")]
 pub struct Cut;
@@ -39,19 +40,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Open,
-    Whole,
+    Complete,
     Cut,
 }
 
-/// The receiving end of a body.
+/// The receiving end of a body: a queue of chunks with a running checksum.
 pub(crate) struct Inlet {
     chunks: RefCell<VecDeque<Bytes>>,
     queued: Cell<usize>,
     consumed: Cell<usize>,
     state: Cell<State>,
-    sum: RefCell<Xxh3Default>,
+    hasher: RefCell<Xxh3Default>,
     waker: RefCell<Option<Waker>>,
-    /// Called with bytes that the sender may send again.
+    /// Called with the number of further bytes that the sender may send.
     grant: Box<dyn Fn(u32)>,
 }
 
@@ -62,14 +63,14 @@
             queued: Cell::new(0),
             consumed: Cell::new(0),
             state: Cell::new(State::Open),
-            sum: RefCell::new(Xxh3Default::new()),
+            hasher: RefCell::new(Xxh3Default::new()),
             waker: RefCell::default(),
             grant: Box::new(grant),
         })
     }
 
-    /// Takes a chunk. A sender that ignores the window is cut, as it could
-    /// fill the memory.
+    /// Queues a chunk. If the sender exceeds the window, the body is cut, as it
+    /// could otherwise exhaust memory.
     pub(crate) fn push(&self, bytes: Bytes) {
         if self.state.get() != State::Open {
             return;
@@ -79,23 +80,24 @@
             return self.cut();
         }
         self.queued.set(queued);
-        self.sum.borrow_mut().update(&bytes);
+        self.hasher.borrow_mut().update(&bytes);
         self.chunks.borrow_mut().push_back(bytes);
         self.wake();
     }
 
-    /// Takes the end mark.
+    /// Handles the end mark: completes the body if `sum` matches the checksum of
+    /// the received bytes, and cuts it otherwise.
     pub(crate) fn end(&self, sum: u64) {
         if self.state.get() != State::Open {
             return;
         }
-        let right = self.sum.borrow().digest() == sum;
+        let matches = self.hasher.borrow().digest() == sum;
         self.state
-            .set(if right { State::Whole } else { State::Cut });
+            .set(if matches { State::Complete } else { State::Cut });
         self.wake();
     }
 
-    /// Cuts the body, unless it is whole already.
+    /// Marks the body as truncated, unless it is complete already.
     pub(crate) fn cut(&self) {
         if self.state.get() == State::Open {
             self.state.set(State::Cut);
@@ -103,17 +105,17 @@
         }
     }
 
-    /// Whether the end mark has come.
+    /// Whether the end mark has arrived with the right checksum.
     pub(crate) fn is_whole(&self) -> bool {
-        self.state.get() == State::Whole
+        self.state.get() == State::Complete
     }
 
-    /// Whether more may come.
+    /// Whether the body is neither complete nor cut.
     pub(crate) fn is_open(&self) -> bool {
         self.state.get() == State::Open
     }
 
-    /// Bytes that still fit in.
+    /// Bytes that can be queued before the window is full.
     pub(crate) fn room(&self) -> usize {
         WINDOW - self.queued.get()
     }
@@ -124,12 +126,13 @@
         }
     }
 
-    /// The next chunk, if it is here.
+    /// Removes the next chunk, if one is queued, and grants credit when enough
+    /// bytes have been consumed.
     pub(crate) fn pop(&self) -> Option<Bytes> {
         let bytes = self.chunks.borrow_mut().pop_front()?;
         self.queued.set(self.queued.get() - bytes.len());
         let consumed = self.consumed.get() + bytes.len();
-        let due = consumed >= GRANT && self.state.get() == State::Open;
+        let due = consumed >= GRANT_THRESHOLD && self.state.get() == State::Open;
         self.consumed.set(if due { 0 } else { consumed });
         if due {
             (self.grant)(consumed as u32);
@@ -137,8 +140,9 @@
         Some(bytes)
     }
 
-    /// Waits for the next chunk. What came before a cut is not handed out any
-    /// more: the reader learns of the cut at once.
+    /// Polls for the next chunk; `None` is the end of a complete body. Once the body
+    /// is cut, queued chunks are no longer returned: the reader gets the error at
+    /// once.
     pub(crate) fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
         if self.state.get() == State::Cut {
             return Poll::Ready(Some(Err(Cut)));
@@ -146,19 +150,20 @@
         if let Some(bytes) = self.pop() {
             return Poll::Ready(Some(Ok(bytes)));
         }
-        if self.state.get() == State::Whole {
+        if self.state.get() == State::Complete {
             return Poll::Ready(None);
         }
         *self.waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 
+    /// Waits for the next chunk, like [`Inlet::poll`].
     pub(crate) async fn next(&self) -> Option<Result<Bytes, Cut>> {
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
 }
 
-/// The sending end of a body: what may still be sent.
+/// The sending end of a body, which tracks the credit left to send.
 pub(crate) struct Outlet {
     credit: Cell<usize>,
     closed: Cell<bool>,
@@ -174,14 +179,14 @@
         })
     }
 
-    /// The receiver has room for more.
+    /// Adds credit granted by the receiver, up to [`WINDOW`] in total.
     pub(crate) fn grant(&self, bytes: u32) {
         let credit = self.credit.get() + bytes as usize;
         self.credit.set(credit.min(WINDOW));
         self.wake();
     }
 
-    /// Nobody wants the rest.
+    /// Closes the body, because nobody reads the rest. [`Outlet::reserve`] then fails.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.wake();
@@ -193,20 +198,21 @@
         }
     }
 
-    /// Takes up to `want` bytes at once, if there is any room.
-    pub(crate) fn take(&self, want: usize) -> usize {
-        let taken = want.min(self.credit.get());
+    /// Takes credit for up to `limit` bytes without waiting. Returns the bytes
+    /// taken, zero if there is no credit.
+    pub(crate) fn take(&self, limit: usize) -> usize {
+        let taken = limit.min(self.credit.get());
         self.credit.set(self.credit.get() - taken);
         taken
     }
 
-    /// Waits for room for up to `want` bytes.
-    pub(crate) async fn reserve(&self, want: usize) -> Result<usize, Cut> {
+    /// Waits for credit and takes it for up to `limit` bytes.
+    pub(crate) async fn reserve(&self, limit: usize) -> Result<usize, Cut> {
         std::future::poll_fn(|cx| {
             if self.closed.get() {
                 return Poll::Ready(Err(Cut));
             }
-            match self.take(want) {
+            match self.take(limit) {
                 0 => {
                     *self.waker.borrow_mut() = Some(cx.waker().clone());
                     Poll::Pending
--- a/src/connection/header.rs
+++ b/src/connection/header.rs
@@ -1,8 +1,8 @@
-//! Which headers pass a node, and under which names the system speaks.
+//! Header filtering, and the names of the headers that nodes read and write.
 //!
-//! Hop-by-hop headers end here, and so does everything with which a caller
-//! could show its key or pretend to be a node. The names are data: a node that
-//! runs in other surroundings gets other [`Names`].
+//! Hop-by-hop headers are removed, and so is every header through which a caller
+//! could expose its key or pose as a node. The names are data, so that a node in
+//! another environment can be given other [`Names`].
 
 use actix_http::header::{
     HeaderMap,
@@ -22,48 +22,48 @@
     id, //
 };
 
-/// The names of the headers that mean something to the system. All are in
-/// lower case; an absent one is not used.
+/// The names of the headers that nodes interpret, all in lower case. A header
+/// whose name is `None` is not used.
 #[derive(Clone, Copy, Debug)]
 pub struct Names {
-    /// How every header of the system begins. Those of a caller never pass.
+    /// The prefix of the system's own headers. They are removed from requests and
+    /// answers, except for `request` and `seal`.
     pub prefix: &'static str,
     /// Carries a caller's key.
     pub key: &'static str,
-    /// Whether `Authorization: Bearer` may carry the key too. It never passes
-    /// then.
+    /// Whether `Authorization: Bearer` may carry the key too. If so,
+    /// `Authorization` is never forwarded.
     pub bearer: bool,
-    /// The caller's own id of its request. It passes, and answers echo it.
+    /// The caller's own request id. It is forwarded, and answers echo it.
     pub request: Option<&'static str>,
-    /// Time that is left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left: &'static str,
-    /// By which a service names the attempt that it works for.
+    /// Identifies the attempt on whose behalf a service makes a nested call.
     pub token: Option<&'static str>,
-    /// The root of the chain.
+    /// The root of the call chain.
     pub root: Option<&'static str>,
     /// The team whose key came with the request.
     pub team: Option<&'static str>,
     /// The pool of the instance where the request began.
     pub origin: Option<&'static str>,
-    /// The upstream that alone may run the request, by the id that it gave
-    /// itself.
+    /// The only upstream that may run the request, by the id that it reports.
     pub target: Option<&'static str>,
     /// On an answer: the upstream has not run the request.
     pub rejected: Option<&'static str>,
-    /// On an answer: without it a success is none.
+    /// On an answer: a success without this header is not accepted as one.
     pub seal: Option<&'static str>,
-    /// On a health endpoint's answer: how much longer the upstream is cold, in
+    /// On a health endpoint's answer: remaining warm-up time of the upstream, in
     /// milliseconds.
     pub warmup: Option<&'static str>,
-    /// On an answer: the requests a second that the upstream takes from all nodes
-    /// together, as a decimal number.
+    /// On an answer: the requests per second that the upstream accepts from all
+    /// nodes together, as a decimal number.
     pub limit: &'static str,
-    /// On an answer: `1` from an upstream that leaves.
+    /// On an answer: `1` if the upstream is shutting down.
     pub leaving: &'static str,
 }
 
 impl Names {
-    /// The names of the product's own interface.
+    /// The names used by the product's own HTTP interface.
     pub const fn own() -> Self {
         Self {
             prefix: "x-bluebellswitch-",
@@ -84,18 +84,18 @@
         }
     }
 
-    /// Whether a header with the system's prefix passes all the same.
-    fn passes(&self, name: &str) -> bool {
-        let kept = [self.request, self.seal];
-        kept.into_iter().flatten().any(|kept| kept == name)
+    /// Whether a header is forwarded although it may have the system's prefix.
+    fn is_exempt(&self, name: &str) -> bool {
+        let exempt = [self.request, self.seal];
+        exempt.into_iter().flatten().any(|exempt| exempt == name)
     }
 }
 
-/// What the service beside the node is told of an attempt.
+/// What the headers of a forwarded request tell the upstream about the attempt.
 pub(crate) struct Told<'a> {
     pub(crate) context: &'a Context,
     pub(crate) token: id::Token,
-    /// The upstream's id of itself, where it gave one.
+    /// The id that the upstream reports for itself, if any.
     pub(crate) target: Option<&'a str>,
 }
 
@@ -112,13 +112,14 @@
     "upgrade",
 ];
 
-/// The name with underscores read as dashes. Many services read both alike, so
-/// a key or a context in the other spelling would pass unseen.
-fn usual(name: &str) -> String {
+/// Lowercases a name and replaces underscores by dashes. Many services treat both
+/// alike, so a key or a context in the other spelling would escape the filter.
+fn normalize(name: &str) -> String {
     name.to_ascii_lowercase().replace('_', "-")
 }
 
-fn listed(headers: &HeaderMap) -> Vec<String> {
+/// The names listed in `Connection`, which are hop-by-hop headers too.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all("connection")
         .filter_map(|value| value.to_str().ok())
@@ -127,19 +128,19 @@
         .collect()
 }
 
-/// The headers that pass on, of a request or an answer.
+/// The headers of a request or an answer that are forwarded.
 ///
-/// `Content-Length` goes too: the length is a field of the head, and the next
-/// hop writes it anew, so that no two lengths can differ. An answer to `HEAD`
-/// keeps its length in that field.
+/// `Content-Length` is removed too: the length is a field of the head from which
+/// the next hop writes the header again, so that no two lengths can conflict. An
+/// answer to `HEAD` keeps its length in that field.
 pub(crate) fn strip(headers: &HeaderMap, names: &Names) -> Vec<(String, Bytes)> {
-    let listed = listed(headers);
-    let passes = |name: &str| {
-        let usual = usual(name);
-        !HOP_BY_HOP.contains(&usual.as_str())
-            && !listed.iter().any(|other| *other == name)
-            && (!usual.starts_with(names.prefix) || names.passes(name))
-            && usual != "content-length"
+    let options = connection_options(headers);
+    let is_forwarded = |name: &str| {
+        let normalized = normalize(name);
+        !HOP_BY_HOP.contains(&normalized.as_str())
+            && !options.iter().any(|other| *other == name)
+            && (!normalized.starts_with(names.prefix) || names.is_exempt(name))
+            && normalized != "content-length"
     };
     let copy = |(name, value): (&HeaderName, &HeaderValue)| {
         let value = Bytes::copy_from_slice(value.as_bytes());
@@ -147,53 +148,54 @@
     };
     headers
         .iter()
-        .filter(|(name, _)| passes(name.as_str()))
+        .filter(|(name, _)| is_forwarded(name.as_str()))
         .map(copy)
         .collect()
 }
 
-/// Takes the key out of a caller's request, in all its spellings.
+/// Reads the key of a caller's request and removes `Authorization` from the
+/// forwarded headers, in all its spellings, if it may carry the key.
 ///
-/// Where `Authorization` may carry it, that goes whole, whatever its scheme: a
-/// key in it may be malformed and still be a key.
+/// It is removed whatever its scheme, because a malformed value may still contain
+/// a key.
 pub(crate) fn take_key(
     headers: &mut Vec<(String, Bytes)>,
     original: &HeaderMap,
     names: &Names,
 ) -> Option<String> {
-    let own = original
+    let dedicated = original
         .get(names.key)
         .and_then(|value| value.to_str().ok());
     if !names.bearer {
-        return own.map(str::to_owned);
+        return dedicated.map(str::to_owned);
     }
-    headers.retain(|(name, _)| usual(name) != "authorization");
+    headers.retain(|(name, _)| normalize(name) != "authorization");
     let bearer = || {
         let value = original.get("authorization")?.to_str().ok()?;
         let (scheme, key) = value.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
     };
-    own.or_else(bearer).map(str::to_owned)
+    dedicated.or_else(bearer).map(str::to_owned)
 }
 
-/// The token of a nested call.
+/// The attempt token that a nested call carries.
 pub(crate) fn token(original: &HeaderMap, names: &Names) -> Option<id::Token> {
     original.get(names.token?)?.to_str().ok()?.parse().ok()
 }
 
-/// How long the caller waits, where it says so.
+/// How long the caller waits, if the request tells.
 pub(crate) fn left(original: &HeaderMap, names: &Names) -> Option<Span> {
     let text = original.get(names.left)?.to_str().ok()?;
     text.trim().parse().ok().map(Span::from_ms)
 }
 
-/// How much longer the upstream says that it is cold, where it says so.
+/// The remaining warm-up time that the upstream reports, if any.
 pub(crate) fn warmup(original: &HeaderMap, names: &Names) -> Option<Span> {
     let text = original.get(names.warmup?)?.to_str().ok()?;
     text.trim().parse().ok().map(Span::from_ms)
 }
 
-/// What the upstream tells about itself.
+/// The rate limit and the shutdown notice that an upstream's answer carries.
 pub(crate) fn signal(original: &HeaderMap, names: &Names) -> Signal {
     let text = |value: &HeaderValue| value.to_str().map(str::trim).map(str::to_owned).ok();
     let limit = match original.get(names.limit) {
@@ -209,14 +211,15 @@
     }
 }
 
-/// The caller's own id of its request.
+/// The caller's own request id.
 pub(crate) fn request(headers: &[(String, Bytes)], names: &Names) -> Option<Bytes> {
-    let wanted = names.request?;
-    let found = headers.iter().find(|(name, _)| name == wanted);
+    let request_name = names.request?;
+    let found = headers.iter().find(|(name, _)| name == request_name);
     found.map(|(_, value)| value.clone())
 }
 
-/// Adds what the service may know of the attempt, and needs for nested calls.
+/// Adds the headers that tell the upstream about the attempt and that it needs
+/// for nested calls.
 pub(crate) fn add_context(head: &mut Head, told: &Told<'_>, names: &Names) {
     let context = told.context;
     let mut add = |name: Option<&str>, value: String| {
@@ -238,7 +241,7 @@
     }
 }
 
-/// Bytes that the headers take.
+/// Size of the headers in bytes, with four for the separators of each.
 pub(crate) fn size(headers: &HeaderMap) -> u64 {
     let len = |(name, value): (&HeaderName, &HeaderValue)| name.as_str().len() + value.len() + 4;
     headers.iter().map(len).sum::<usize>() as u64
