--- a/src/connection/frame.rs
+++ b/src/connection/frame.rs
@@ -1,7 +1,7 @@
-//! Frames between two nodes, as CBOR in WebSocket messages.
+//! Frames between two nodes, encoded as CBOR in WebSocket messages.
 //!
-//! Every frame names its request, by a number that is never used twice, so a
-//! late or crossed frame meets no waiter and is dropped.
+//! Every frame of a request carries its number, which is never reused. So a late
+//! frame, or one that crossed another on the way, finds no waiter and is dropped.
 
 use std::fmt;
 
@@ -30,7 +30,7 @@
     record::Claim, //
 };
 
-/// The largest encoded frame, in bytes. Bodies travel in smaller chunks.
+/// The largest encoded frame, in bytes. Bodies are sent in smaller chunks.
 pub const LIMIT: usize = 4 << 20;
 
 /// The head of an HTTP request or answer, without hop-by-hop headers.
@@ -42,14 +42,14 @@
     pub target: String,
     /// The status of an answer; zero in a request.
     pub status: u16,
-    /// Names and values in their order.
+    /// Names and values in their original order.
     pub headers: Vec<(String, Bytes)>,
-    /// The body's length in bytes, where it is known beforehand.
+    /// The body's length in bytes, if it is known in advance.
     pub length: Option<u64>,
 }
 
-/// An answer with its whole body, as the records of idempotent requests keep
-/// it.
+/// An answer with its complete body, as stored in the records of idempotent
+/// requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Whole {
     /// The HTTP head.
@@ -58,107 +58,109 @@
     pub body: Bytes,
 }
 
-/// The largest body that is kept, so that it is sent again in one go.
+/// The largest body that is stored, in bytes. It fits the flow control window, so
+/// that it is replayed without waiting for credit.
 pub const KEPT_LIMIT: usize = 256 << 10;
 
 /// Which body a chunk belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// The caller's body, towards the upstream.
+    /// The request body, sent towards the upstream.
     Request,
-    /// The upstream's body, towards the caller.
+    /// The answer body, sent towards the caller.
     Answer,
 }
 
-/// What an inbound proxy knows of an attempt that the ingress wants to revoke.
+/// What an inbound proxy knows about an attempt that the ingress wants to revoke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// It has not begun and never will: a late copy will be refused.
+    /// It has not started and never will: a late copy will be refused.
     Revoked,
-    /// It runs. Its answer was bound to the broken link and is lost.
+    /// It is running. Its answer was bound to the broken link and is lost.
     Running,
-    /// It ran to its end. Its answer is lost.
+    /// It has completed. Its answer is lost.
     Ended,
-    /// This life of the node cannot tell.
+    /// This incarnation of the node has no information about it.
     Forgotten,
 }
 
 /// One message between two nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Run this request.
+    /// Requests that the receiver runs an attempt.
     Attempt {
         /// The attempt's number.
         request: Request,
-        /// The life of the receiver that may run it; any other refuses it.
+        /// The incarnation of the receiver that may run it; any other refuses it.
         life: Incarnation,
-        /// What rides down the chain.
+        /// The context that is passed down the call chain.
         context: Context,
         /// The route that the ingress matched.
         route: Route,
-        /// The idempotency record that guards it.
+        /// The claim on its idempotency record, if it has one.
         claim: Option<Claim>,
         /// The HTTP head.
         head: Head,
     },
-    /// What the upstream beside the receiver told through a former life of it.
+    /// What the receiver's upstream reported through an earlier incarnation of the
+    /// receiver.
     Hint(Hint),
-    /// A part of a body.
+    /// A chunk of a body.
     Chunk {
         /// The attempt's number.
         request: Request,
-        /// Which body.
+        /// The body that the frame refers to.
         side: Side,
         /// The bytes.
         bytes: Bytes,
     },
-    /// A body is whole.
+    /// The end mark of a complete body.
     End {
         /// The attempt's number.
         request: Request,
-        /// Which body.
+        /// The body that the frame refers to.
         side: Side,
         /// The XXH3 checksum of the whole body.
         sum: u64,
     },
-    /// A body was cut and will not become whole.
+    /// A body was truncated and will not be completed.
     Cut {
         /// The attempt's number.
         request: Request,
-        /// Which body.
+        /// The body that the frame refers to.
         side: Side,
     },
-    /// The receiver of a body has room for more.
+    /// Flow control: the receiver of a body grants more credit.
     Credit {
         /// The attempt's number.
         request: Request,
-        /// Which body.
+        /// The body that the frame refers to.
         side: Side,
         /// Further bytes that may be sent.
         bytes: u32,
     },
-    /// Nobody waits for the attempt any longer.
+    /// Nobody waits for the attempt any more.
     Cancel {
         /// The attempt's number.
         request: Request,
     },
-    /// Do not begin this attempt, and say how far it came.
+    /// Asks the receiver not to start the attempt, and to report its progress.
     Revoke {
         /// The attempt's number.
         request: Request,
-        /// The life of the receiver that the attempt was sent to.
+        /// The incarnation of the receiver that the attempt was sent to.
         life: Incarnation,
-        /// How long a late copy must still be refused.
+        /// How much longer a late copy must be refused.
         left: Span,
     },
     /// The answer to [`Frame::Revoke`].
     Fate {
         /// The attempt's number.
         request: Request,
-        /// How far it came.
+        /// The progress of the attempt.
         fate: Fate,
     },
-    /// The upstream answers; the body follows in chunks.
+    /// The head of the upstream's answer; the body follows in chunks.
     Answer {
         /// The attempt's number.
         request: Request,
@@ -167,54 +169,54 @@
         /// The inbound proxy's state.
         report: Report,
     },
-    /// The attempt has ended and holds nothing any more.
+    /// The attempt has ended and holds no resources any more.
     Finish {
         /// The attempt's number.
         request: Request,
         /// The inbound proxy's state.
         report: Report,
     },
-    /// The attempt ended without an answer of the upstream.
+    /// The attempt ended without an answer from the upstream.
     Refuse {
         /// The attempt's number.
         request: Request,
-        /// Why; it also says whether the request may have run.
+        /// The reason, which also tells whether the request may have run.
         code: crate::code::Code,
         /// The inbound proxy's state.
         report: Report,
     },
-    /// What the nodes tell each other beside requests.
+    /// A control message, which belongs to no request.
     Control(Box<Message>),
 }
 
 impl Frame {
-    /// Writes the frame as CBOR.
+    /// Encodes the frame as CBOR.
     ///
     /// # Errors
     ///
-    /// When the frame is larger than [`LIMIT`].
+    /// If the encoded frame exceeds [`LIMIT`].
     pub fn encode(&self) -> Result<Vec<u8>> {
         encode(self, LIMIT)
     }
 
-    /// Reads a frame from CBOR.
+    /// Decodes a frame from CBOR.
     ///
     /// # Errors
     ///
-    /// When the bytes are no frame, go on after it, or exceed [`LIMIT`].
+    /// If the bytes aren't exactly one frame or exceed [`LIMIT`].
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         decode(bytes, LIMIT)
     }
 }
 
-/// Writes anything as CBOR of at most `limit` bytes.
+/// Encodes a value as CBOR of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// When the encoding is longer.
+/// If the encoding is longer.
 pub(crate) fn encode<T: Serialize>(value: &T, limit: usize) -> Result<Vec<u8>> {
     let mut bytes = Vec::with_capacity(128);
-    ciborium::into_writer(value, &mut bytes).map_err(broken)?;
+    ciborium::into_writer(value, &mut bytes).map_err(codec_error)?;
     if bytes.len() > limit {
         let reason = format!("a frame of {} bytes exceeds {limit}", bytes.len());
         return Err(Error::new(Fault::Frame, reason));
@@ -222,24 +224,24 @@
     Ok(bytes)
 }
 
-/// Reads anything from exactly these bytes of CBOR, at most `limit`.
+/// Decodes exactly one value from at most `limit` bytes of CBOR.
 ///
 /// # Errors
 ///
-/// When the bytes are too many, malformed, or more than one value.
+/// If the bytes are too many, malformed, or contain more than one value.
 pub(crate) fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8], limit: usize) -> Result<T> {
     if bytes.len() > limit {
         let reason = format!("a frame of {} bytes exceeds {limit}", bytes.len());
         return Err(Error::new(Fault::Frame, reason));
     }
     let mut rest = bytes;
-    let value = ciborium::from_reader(&mut rest).map_err(broken)?;
+    let value = ciborium::from_reader(&mut rest).map_err(codec_error)?;
     if !rest.is_empty() {
         return Err(Error::new(Fault::Frame, "bytes follow after the frame"));
     }
     Ok(value)
 }
 
-fn broken(error: impl fmt::Display) -> Error {
+fn codec_error(error: impl fmt::Display) -> Error {
     Error::new(Fault::Frame, format!("the frame cannot be read: {error}"))
 }
