--- a/src/connection/body.rs
+++ b/src/connection/body.rs
@@ -26,7 +26,7 @@
 pub const WINDOW: usize = 256 << 10;
 
 /// The largest chunk of a body in one frame, in bytes.
-pub(crate) const CHUNK: usize = 64 << 10;
+pub(crate) const MAX_CHUNK: usize = 64 << 10;
 
 /// Consumed bytes after which the receiver grants credit again. Smaller grants
 /// aren't worth a frame.
--- a/src/connection/frame.rs
+++ b/src/connection/frame.rs
@@ -54,13 +54,13 @@
 pub struct Whole {
     /// The HTTP head.
     pub head: Head,
-    /// The body, at most [`KEPT_LIMIT`] bytes.
+    /// The body, at most [`STORED_BODY_LIMIT`] bytes.
     pub body: Bytes,
 }
 
 /// The largest body that is stored, in bytes. It fits the flow control window, so
 /// that it is replayed without waiting for credit.
-pub const KEPT_LIMIT: usize = 256 << 10;
+pub const STORED_BODY_LIMIT: usize = 256 << 10;
 
 /// Which body a chunk belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/src/connection/header.rs
+++ b/src/connection/header.rs
@@ -92,7 +92,7 @@
 }
 
 /// What the headers of a forwarded request tell the upstream about the attempt.
-pub(crate) struct Told<'a> {
+pub(crate) struct AttemptInfo<'a> {
     pub(crate) context: &'a Context,
     pub(crate) token: id::Token,
     /// The id that the upstream reports for itself, if any.
@@ -220,14 +220,14 @@
 
 /// Adds the headers that tell the upstream about the attempt and that it needs
 /// for nested calls.
-pub(crate) fn add_context(head: &mut Head, told: &Told<'_>, names: &Names) {
-    let context = told.context;
+pub(crate) fn add_context(head: &mut Head, attempt: &AttemptInfo<'_>, names: &Names) {
+    let context = attempt.context;
     let mut add = |name: Option<&str>, value: String| {
         if let Some(name) = name {
             head.headers.push((name.to_owned(), value.into()));
         }
     };
-    add(names.token, told.token.to_string());
+    add(names.token, attempt.token.to_string());
     add(names.root, context.root.to_string());
     add(Some(names.left), context.left.as_ms().to_string());
     if let Some(team) = &context.authenticated_team() {
@@ -236,7 +236,7 @@
     if let Some(origin) = &context.origin {
         add(names.origin, origin.to_string());
     }
-    if let Some(target) = told.target {
+    if let Some(target) = attempt.target {
         add(names.target, target.to_owned());
     }
 }
--- a/src/process/relay.rs
+++ b/src/process/relay.rs
@@ -24,9 +24,9 @@
     code::Code,
     connection::{
         body::{
-            CHUNK,
             Cut,
             Inlet,
+            MAX_CHUNK,
             Outlet,
             WINDOW, //
         },
@@ -36,7 +36,7 @@
     frame::{
         Frame,
         Head,
-        KEPT_LIMIT,
+        STORED_BODY_LIMIT,
         Side,
         Whole, //
     },
@@ -123,7 +123,7 @@
         let sum = xxh3_64(&bytes);
         let mut rest = bytes;
         while !rest.is_empty() {
-            let size = sender.outlet.take(CHUNK.min(rest.len()));
+            let size = sender.outlet.take(MAX_CHUNK.min(rest.len()));
             if size == 0 {
                 return self.transmit(&sender.peer, sender.cut());
             }
@@ -195,7 +195,7 @@
     /// Sends a chunk, split into parts for which the receiver has granted credit.
     async fn send_chunk(&self, sender: &BodySender, mut chunk: Bytes) -> Result<(), Cut> {
         while !chunk.is_empty() {
-            let requested = chunk.len().min(CHUNK);
+            let requested = chunk.len().min(MAX_CHUNK);
             let size = sender.outlet.reserve(requested).await?;
             self.transmit(&sender.peer, sender.chunk(chunk.split_to(size)));
         }
@@ -242,7 +242,7 @@
         let mut context = running.context.clone();
         context.left = Clock.now().until(deadline);
         let target = self.target.borrow();
-        let injected = header::Told {
+        let injected = header::AttemptInfo {
             context: &context,
             token,
             target: target.as_deref(),
@@ -337,7 +337,7 @@
     }
 
     /// Relays the body of an answer. Returns a copy of it if `capture` is set and
-    /// the body is at most [`KEPT_LIMIT`] bytes long.
+    /// the body is at most [`STORED_BODY_LIMIT`] bytes long.
     async fn relay_body(
         &self,
         sender: &BodySender,
@@ -355,7 +355,8 @@
             };
             let Some(chunk) = next else { break };
             sum.update(&chunk);
-            captured = captured.filter(|captured| captured.len() + chunk.len() <= KEPT_LIMIT);
+            captured =
+                captured.filter(|captured| captured.len() + chunk.len() <= STORED_BODY_LIMIT);
             if let Some(captured) = &mut captured {
                 captured.extend_from_slice(&chunk);
             }
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -16,8 +16,8 @@
     connection::header::Names,
     connection::{
         body::{
-            CHUNK,
-            Inlet, //
+            Inlet,
+            MAX_CHUNK, //
         },
         upstream::Pool,
     },
@@ -153,11 +153,11 @@
     let sum = xxh3_64(&body);
     let mut rest = body;
     while !rest.is_empty() && inlet.is_open() {
-        if inlet.room() < CHUNK {
+        if inlet.room() < MAX_CHUNK {
             tokio::time::sleep(Span::from_ms(1).to_std()).await;
             continue;
         }
-        inlet.push(rest.split_to(rest.len().min(CHUNK)));
+        inlet.push(rest.split_to(rest.len().min(MAX_CHUNK)));
     }
     if rest.is_empty() {
         inlet.end(sum);
