--- a/src/connection/link.rs
+++ b/src/connection/link.rs
@@ -248,22 +248,22 @@
 /// The sending end of a link's queue of encoded frames.
 pub(crate) type Queue = mpsc::UnboundedSender<Vec<u8>>;
 
-/// Sends queued frames and passes received ones to `take`, until the link breaks,
-/// `take` fails or the queue is closed.
-pub(crate) async fn carry(
+/// Sends queued frames and passes received ones to `on_frame`, until the link
+/// breaks, `on_frame` fails or the queue is closed.
+pub(crate) async fn run(
     socket: Socket,
     queue: mpsc::UnboundedReceiver<Vec<u8>>,
-    take: Rc<dyn Fn(Bytes) -> Result<()>>,
+    on_frame: Rc<dyn Fn(Bytes) -> Result<()>>,
 ) {
     let (sink, mut stream) = socket.split();
     let read = async {
         while let Some(Ok(message)) = stream.next().await {
-            let taken = match message {
-                Message::Binary(bytes) => take(bytes).is_ok(),
+            let accepted = match message {
+                Message::Binary(bytes) => on_frame(bytes).is_ok(),
                 Message::Close(_) => false,
                 _ => true,
             };
-            if !taken {
+            if !accepted {
                 return;
             }
         }
--- a/src/connection/secret.rs
+++ b/src/connection/secret.rs
@@ -100,7 +100,7 @@
     }
 
     /// Appends the authentication tag to a datagram.
-    pub(crate) fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
+    pub(crate) fn append_tag(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(secret) = self.0.first() {
             let tag = secret.sign("datagram", &[&bytes]);
             bytes.extend_from_slice(&tag[..TAG_LEN]);
@@ -109,7 +109,7 @@
     }
 
     /// Verifies and removes the tag of a datagram. Returns `None` if it is invalid.
-    pub(crate) fn open<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
+    pub(crate) fn strip_tag<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         let (payload, tag) = bytes.split_at_checked(bytes.len().checked_sub(TAG_LEN)?)?;
         let matches = |secret: &Secret| -> bool {
             secret.sign("datagram", &[payload])[..TAG_LEN]
--- a/src/process/carrier.rs
+++ b/src/process/carrier.rs
@@ -565,7 +565,7 @@
             bytes_in: received.bytes_in + (bytes.len() + DATAGRAM_HEADER_BYTES) as u64,
             ..received
         });
-        let message = self.ring.open(bytes).map(Message::decode);
+        let message = self.ring.strip_tag(bytes).map(Message::decode);
         match message {
             Some(Ok(message)) => self.on(Event::Datagram(from, message)),
             _ => self.count(Counter::DatagramDropped),
@@ -581,7 +581,7 @@
             return self.on(Event::Datagram(to, message));
         }
         if let Ok(bytes) = message.encode() {
-            let bytes = self.ring.seal(bytes);
+            let bytes = self.ring.append_tag(bytes);
             let sent = self.datagrams.get();
             self.datagrams.set(Datagrams {
                 messages_out: sent.messages_out + 1,
--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -168,7 +168,7 @@
         carrier.on(Event::InboundLinkLost(peer.clone()));
     }
     carrier.count(Counter::LinkOpened);
-    link::carry(socket, rest, taker(&carrier, &peer, true)).await;
+    link::run(socket, rest, taker(&carrier, &peer, true)).await;
     let mut links = carrier.links.accepted.borrow_mut();
     let current = links.get(&peer).is_some_and(|link| link.number == number);
     if current {
@@ -192,7 +192,7 @@
             Ok(socket) => {
                 carrier.count(Counter::LinkOpened);
                 carrier.on(Event::OutboundLinkOpened(peer.clone()));
-                link::carry(socket, rest, taker(&carrier, &peer, false)).await;
+                link::run(socket, rest, taker(&carrier, &peer, false)).await;
             }
             Err(error) => {
                 log::warn!(peer:% = peer, code = error.number(); "no link: {}", error.reason());
