--- a/src/connection/link.rs
+++ b/src/connection/link.rs
@@ -178,7 +178,7 @@
     ring: &Ring,
 ) -> Result<Socket> {
     let stream = TcpStream::connect(address).await?;
-    socket::prepare(&stream)?;
+    socket::configure(&stream)?;
     let url = format!("ws://{address}/link");
     let (mut socket, _) =
         client_async_with_config(url, stream, Some(websocket_config(HANDSHAKE_LIMIT)))
@@ -220,7 +220,7 @@
     me: &id::Instance,
     ring: &Ring,
 ) -> Result<(id::Instance, Socket)> {
-    socket::prepare(&stream)?;
+    socket::configure(&stream)?;
     let mut socket = accept_async_with_config(stream, Some(websocket_config(HANDSHAKE_LIMIT)))
         .await
         .map_err(unreachable_error)?;
--- a/src/connection/socket.rs
+++ b/src/connection/socket.rs
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// If an option can't be set, for example because the connection is closed.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
--- a/src/connection/upstream.rs
+++ b/src/connection/upstream.rs
@@ -169,7 +169,7 @@
         let connecting = TcpStream::connect(self.address);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT.to_std(), connecting).await;
         let stream = stream.ok()?.ok()?;
-        socket::prepare(&stream).ok()?;
+        socket::configure(&stream).ok()?;
         Some(stream)
     }
 
--- a/tests/path/link.rs
+++ b/tests/path/link.rs
@@ -240,7 +240,7 @@
             .await
             .expect("a connection");
         assert!(!sockopt::socket_keepalive(&stream).expect("an option"));
-        bluebellswitch::socket::prepare(&stream).expect("options");
+        bluebellswitch::socket::configure(&stream).expect("options");
         assert!(sockopt::socket_keepalive(&stream).expect("an option"));
         let unanswered = sockopt::tcp_user_timeout(&stream).expect("an option");
         assert!((1000..5000).contains(&unanswered), "{unanswered} ms");
