--- a/src/process/links.rs
+++ b/src/process/links.rs
@@ -172,7 +172,7 @@
         carrier.on(Event::InboundLinkLost(peer.clone()));
     }
     carrier.count(Counter::LinkOpened);
-    link::carry(socket, queued, frame_handler(&carrier, &peer, true)).await;
+    link::run(socket, queued, frame_handler(&carrier, &peer, true)).await;
     let mut links = carrier.links.inbound.borrow_mut();
     let is_current = links.get(&peer).is_some_and(|link| link.number == number);
     if is_current {
@@ -196,7 +196,7 @@
             Ok(socket) => {
                 carrier.count(Counter::LinkOpened);
                 carrier.on(Event::OutboundLinkOpened(peer.clone()));
-                link::carry(socket, queued, frame_handler(&carrier, &peer, false)).await;
+                link::run(socket, queued, frame_handler(&carrier, &peer, false)).await;
             }
             Err(error) => {
                 log::warn!(peer:% = peer, code = error.number(); "no link: {}", error.reason());
