--- a/src/version/edit.rs
+++ b/src/version/edit.rs
@@ -1,7 +1,7 @@
-//! Edits of a table's text that keep the operators' comments.
+//! Comment-preserving edits of a table's JSONC text.
 //!
-//! A row is compared by what it says, not by how it is written: its fields in
-//! a fixed order, without comments and white space.
+//! Rows are compared by their parsed fields, so field order, comments and
+//! white space don't matter.
 
 use std::collections::BTreeMap;
 
@@ -29,33 +29,33 @@
 /// The fields of one row.
 pub type Fields = Map<String, Value>;
 
-/// All rows of a table by name.
+/// All rows of a table, keyed by name.
 pub type Rows = BTreeMap<String, Fields>;
 
-/// Reads what the rows of a table say. The text has been checked.
+/// Parses the rows of a table whose text has already been validated.
 ///
 /// # Errors
 ///
-/// When the text cannot be read.
+/// Returns an error if the text cannot be parsed.
 pub fn rows(text: &str) -> Result<Rows> {
-    let rows: Option<Rows> = parse_to_serde_value(text, &DIALECT).map_err(unreadable)?;
+    let rows: Option<Rows> = parse_to_serde_value(text, &DIALECT).map_err(syntax_error)?;
     Ok(rows.unwrap_or_default())
 }
 
-/// A checksum of what a row says.
+/// Computes a checksum of a row's fields.
 pub fn checksum(fields: &Fields) -> u64 {
-    // The map keeps its names in order, so that equal rows are written alike.
+    // The map is sorted by field name, so equal rows serialize identically.
     xxh3_64(Value::Object(fields.clone()).to_string().as_bytes())
 }
 
-/// Sets some fields of a row, or removes those without a value, and makes the
-/// row when it is not there.
+/// Sets the given fields of a row and removes those given as `None`. Creates
+/// the row if it does not exist.
 ///
 /// # Errors
 ///
-/// When the text cannot be read.
+/// Returns an error if the text cannot be parsed.
 pub fn set(text: &str, name: &str, fields: &[(String, Option<Value>)]) -> Result<String> {
-    let (root, table) = open(text)?;
+    let (root, table) = parse_table(text)?;
     let row = match table.get(name) {
         Some(property) => property.object_value_or_set(),
         None => {
@@ -69,30 +69,30 @@
     Ok(root.to_string())
 }
 
-/// Makes a row say just this, and keeps the comments within it.
+/// Replaces the fields of a row, keeping the comments within it.
 ///
 /// # Errors
 ///
-/// When the text cannot be read.
+/// Returns an error if the text cannot be parsed.
 pub fn replace(text: &str, name: &str, fields: &Fields) -> Result<String> {
     let present = rows(text)?.remove(name).unwrap_or_default();
-    let gone = present.keys().filter(|field| !fields.contains_key(*field));
-    let gone = gone.map(|field| (field.clone(), None));
-    let new = fields
+    let removed = present.keys().filter(|field| !fields.contains_key(*field));
+    let removed = removed.map(|field| (field.clone(), None));
+    let changed = fields
         .iter()
         .filter(|(field, value)| present.get(*field) != Some(value))
         .map(|(field, value)| (field.clone(), Some(value.clone())));
-    let edits: Vec<_> = gone.chain(new).collect();
+    let edits: Vec<_> = removed.chain(changed).collect();
     set(text, name, &edits)
 }
 
-/// Removes a row. Comments above it stay.
+/// Removes a row. Comments above it are kept.
 ///
 /// # Errors
 ///
-/// When the text cannot be read, or the row is not there.
+/// Returns an error if the text cannot be parsed or the row does not exist.
 pub fn remove(text: &str, name: &str) -> Result<String> {
-    let (root, table) = open(text)?;
+    let (root, table) = parse_table(text)?;
     let property = table.get(name).ok_or_else(|| {
         let reason = format!("there is no row `{name}`");
         Error::new(Code::Absent, reason)
@@ -101,8 +101,8 @@
     Ok(root.to_string())
 }
 
-fn open(text: &str) -> Result<(CstRootNode, CstObject)> {
-    let root = CstRootNode::parse(text, &DIALECT).map_err(unreadable)?;
+fn parse_table(text: &str) -> Result<(CstRootNode, CstObject)> {
+    let root = CstRootNode::parse(text, &DIALECT).map_err(syntax_error)?;
     let table = root.object_value_or_create().ok_or_else(|| {
         let reason = "the table must be an object";
         Error::new(Code::Syntax, reason)
@@ -112,30 +112,32 @@
 
 fn set_field(row: &CstObject, field: &str, value: Option<&Value>) {
     match (row.get(field), value) {
-        (Some(property), Some(value)) => property.set_value(input(value)),
+        (Some(property), Some(value)) => property.set_value(to_cst_value(value)),
         (None, Some(value)) => {
-            row.append(field, input(value));
+            row.append(field, to_cst_value(value));
         }
         (Some(property), None) => property.remove(),
         (None, None) => {}
     }
 }
 
-fn input(value: &Value) -> CstInputValue {
+fn to_cst_value(value: &Value) -> CstInputValue {
     match value {
         Value::Null => CstInputValue::Null,
         Value::Bool(flag) => CstInputValue::Bool(*flag),
         Value::Number(number) => CstInputValue::Number(number.to_string()),
         Value::String(text) => CstInputValue::String(text.clone()),
-        Value::Array(list) => CstInputValue::Array(list.iter().map(input).collect()),
+        Value::Array(list) => CstInputValue::Array(list.iter().map(to_cst_value).collect()),
         Value::Object(map) => {
-            let fields = map.iter().map(|(name, value)| (name.clone(), input(value)));
+            let fields = map
+                .iter()
+                .map(|(name, value)| (name.clone(), to_cst_value(value)));
             CstInputValue::Object(fields.collect())
         }
     }
 }
 
-fn unreadable(error: jsonc_parser::errors::ParseError) -> Error {
+fn syntax_error(error: jsonc_parser::errors::ParseError) -> Error {
     let (line, column) = (error.line_display(), error.column_display());
     Error::new(Code::Syntax, error.kind().to_string()).at(line, column)
 }
