--- a/src/version/team.rs
+++ b/src/version/team.rs
@@ -1,7 +1,7 @@
-//! Teams and their keys.
+//! Teams and their API keys.
 //!
-//! A key is shown once, when it is granted. What is stored, sent between
-//! nodes and kept in memory is a salted hash.
+//! A key is shown in plain text only once, when it is generated. Only its salted
+//! hash is stored, sent between nodes and kept in memory.
 
 use hmac::{
     Hmac,
@@ -29,32 +29,32 @@
     },
 };
 
-/// A customer whose requests share a rate.
+/// A customer whose requests share a rate limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// The team's name.
     pub name: id::Team,
-    /// Requests a second, summed over the fleet.
+    /// Maximum requests per second, across the fleet.
     pub rate: Rate,
-    /// Requests at once, summed over the fleet.
+    /// Burst size in requests, across the fleet.
     pub burst: u32,
-    /// The share under overload, relative to other teams.
+    /// The share of capacity under overload, relative to other teams.
     #[serde(default)]
     pub weight: Weight,
 }
 
-/// A key as it is stored.
+/// An API key as it is stored, without its secret.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// The public part.
+    /// The public part, by which the key is looked up.
     pub name: id::Key,
-    /// The team it speaks for.
+    /// The team that the key authenticates.
     pub team: id::Team,
-    /// Random, in hexadecimal digits.
+    /// The salt, in hexadecimal digits: random, or an opaque key's name.
     pub salt: String,
-    /// HMAC-SHA256 of the secret part under the salt, in hexadecimal digits.
+    /// HMAC-SHA256 of the secret, keyed with the salt, in hexadecimal digits.
     pub hash: String,
 }
 
@@ -65,7 +65,7 @@
     /// The teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The keys in force. A withdrawn key is not here.
+    /// The valid keys. Revoked keys are removed.
     #[serde(default)]
     pub keys: Vec<Key>,
 }
@@ -76,46 +76,46 @@
         self.teams.iter().find(|team| team.name == *name)
     }
 
-    /// Finds the key that this text proves to hold, written `name.secret`, or
-    /// an opaque one.
+    /// Returns the key that `text` authenticates, either as `name.secret` or as
+    /// an opaque key.
     pub fn authenticate(&self, text: &str) -> Option<&Key> {
         let named = text.rsplit_once('.').and_then(|(name, secret)| {
             let key = self.keys.iter().find(|key| key.name.as_str() == name)?;
-            key.proven_by(secret).then_some(key)
+            key.verify(secret).then_some(key)
         });
         named.or_else(|| {
             let name = Key::opaque_name(text);
             let key = self.keys.iter().find(|key| key.name == name)?;
-            key.proven_by(text).then_some(key)
+            key.verify(text).then_some(key)
         })
     }
 
-    /// Whether the key is in force and still speaks for the team.
+    /// Whether the key is valid and still belongs to the team.
     pub fn holds(&self, key: &id::Key, team: &id::Team) -> bool {
         self.keys.iter().any(|k| k.name == *key && k.team == *team)
     }
 }
 
-/// Random bytes of a key's secret part.
+/// Random bytes in a key's secret.
 const SECRET_BYTES: usize = 32;
-/// Digits of an opaque key's digest in its name: enough that no two keys of a
-/// fleet share one, too few to guess the key by.
+/// Digits of an opaque key's digest that form its name: enough that no two keys
+/// of a fleet collide, too few to recover the key.
 const OPAQUE_DIGITS: usize = 24;
-/// Random bytes of a key's salt.
+/// Random bytes in a key's salt.
 const SALT_BYTES: usize = 16;
 
 impl Key {
-    /// Makes a random key. The second value is the whole key as its holder
-    /// shows it, `name.secret`; it is kept nowhere.
+    /// Generates a random key. The second value is the key in plain text, as
+    /// clients send it (`name.secret`); it is not stored.
     pub fn grant<R: CryptoRng>(name: id::Key, team: id::Team, rng: &mut R) -> (Self, String) {
-        let secret = digits(&rng.random::<[u8; SECRET_BYTES]>());
-        let salt = digits(&rng.random::<[u8; SALT_BYTES]>());
-        let shown = format!("{name}.{secret}");
-        (Self::seal(name, team, &salt, &secret), shown)
+        let secret = to_hex(&rng.random::<[u8; SECRET_BYTES]>());
+        let salt = to_hex(&rng.random::<[u8; SALT_BYTES]>());
+        let plain_text = format!("{name}.{secret}");
+        (Self::seal(name, team, &salt, &secret), plain_text)
     }
 
-    /// Stores an opaque key: one that came from elsewhere as a whole, without
-    /// a name. It is looked up by a part of its own digest.
+    /// Hashes an opaque key: one issued by another system, without a name. It is
+    /// looked up by a prefix of its SHA-256 digest.
     pub fn opaque(text: &str, team: id::Team) -> Self {
         let name = Self::opaque_name(text);
         let salt = name.to_string();
@@ -124,34 +124,35 @@
 
     /// The name under which an opaque key is looked up.
     fn opaque_name(text: &str) -> id::Key {
-        let digest = digits(&Sha256::digest(text.as_bytes()));
+        let digest = to_hex(&Sha256::digest(text.as_bytes()));
         let name = format!("opaque-{}", &digest[..OPAQUE_DIGITS]);
         name.parse().expect("hexadecimal digits make a name")
     }
 
-    /// Stores a secret under a salt.
+    /// Hashes a secret with a salt.
     pub fn seal(name: id::Key, team: id::Team, salt: &str, secret: &str) -> Self {
         Self {
             name,
             team,
             salt: salt.to_owned(),
-            hash: digest(salt, secret),
+            hash: hmac_hex(salt, secret),
         }
     }
 
-    /// Compares in constant time, so that timing tells nothing of the hash.
-    fn proven_by(&self, secret: &str) -> bool {
-        let hash = digest(&self.salt, secret);
+    /// Compares in constant time, so that timing doesn't leak the hash.
+    fn verify(&self, secret: &str) -> bool {
+        let hash = hmac_hex(&self.salt, secret);
         subtle::ConstantTimeEq::ct_eq(hash.as_bytes(), self.hash.as_bytes()).into()
     }
 }
 
-fn digest(salt: &str, secret: &str) -> String {
-    let mut mac = Hmac::<Sha256>::new_from_slice(salt.as_bytes()).expect("any length will do");
+fn hmac_hex(salt: &str, secret: &str) -> String {
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(salt.as_bytes()).expect("HMAC accepts a key of any length");
     mac.update(secret.as_bytes());
-    digits(&mac.finalize().into_bytes())
+    to_hex(&mac.finalize().into_bytes())
 }
 
-fn digits(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
