--- a/src/version/document.rs
+++ b/src/version/document.rs
@@ -1,4 +1,4 @@
-//! The configuration as it is stored and sent: one document, one version.
+//! The configuration as it is stored and sent: a single versioned document.
 
 use std::{
     collections::{
@@ -32,20 +32,20 @@
     unit::Size, //
 };
 
-/// The name of the document in the store.
+/// The document's key in the store.
 pub const KEY: &str = "bluebellswitch/config";
 
-/// The largest document, in bytes.
+/// The maximum size of an encoded document, in bytes.
 pub const LIMIT: usize = 1 << 20;
 
-/// The operators' texts with their version. The store keeps exactly this.
+/// The stored configuration: the operators' tables, teams and change history.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
     /// Counts the accepted changes.
     pub version: Version,
-    /// The change that wrote this, to recognize one's own write after a lost
-    /// answer.
+    /// The id of the change that wrote this version. A writer recognizes its own
+    /// write by it after a lost answer.
     pub change: Change,
     /// The table of routes, with the operators' comments.
     pub routes: String,
@@ -53,49 +53,52 @@
     pub pools: String,
     /// Teams and keys.
     pub teams: Teams,
-    /// Failure domains whose upstreams get nothing.
+    /// Evacuated failure domains, whose upstreams receive no requests.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub evacuated: BTreeSet<id::Domain>,
-    /// The last changes, newest first, this one included.
+    /// The most recent changes, newest first, including the one that wrote this
+    /// version.
     #[serde(default)]
     pub history: Vec<Entry>,
 }
 
-/// One accepted change, as the history keeps it.
+/// An accepted change in the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The version that it made.
+    /// The version that the change created.
     pub version: Version,
-    /// Its id.
+    /// The change's id.
     pub change: Change,
-    /// When the operator's machine wrote it, in milliseconds since 1970.
+    /// The time of the write by the operator's clock, in milliseconds since the
+    /// Unix epoch.
     pub at: u64,
-    /// Who gave the command.
+    /// The operator who ran the command.
     pub by: String,
-    /// The command in short.
+    /// A short form of the command.
     pub what: String,
-    /// The rows that it touched.
+    /// The rows that the change modified.
     pub rows: Vec<Touched>,
 }
 
-/// A row that a change touched.
+/// A row that a change modified.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Touched {
-    /// Which row.
+    /// The row's identifier.
     pub row: Row,
-    /// A checksum of what it said before, or nothing when it was not there.
+    /// A checksum of the row's previous fields, or `None` if the row did not
+    /// exist.
     pub before: Option<u64>,
 }
 
-/// The name of a row over all kinds.
+/// Identifies a row of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Row {
-    /// Of the table of routes.
+    /// A row of the table of routes.
     Route(id::Route),
-    /// Of the table of pools.
+    /// A row of the table of pools.
     Pool(id::Pool),
     /// A team.
     Team(id::Team),
@@ -118,11 +121,11 @@
 }
 
 impl Document {
-    /// Writes the document as the store keeps it.
+    /// Serializes the document for the store.
     ///
     /// # Errors
     ///
-    /// When it is larger than the store takes.
+    /// Returns an error if the document exceeds [`LIMIT`].
     pub fn encode(&self) -> Result<String> {
         let text = serde_json::to_string(self)
             .map_err(|error| Error::new(Code::StoreData, error.to_string()))?;
@@ -136,11 +139,11 @@
         Err(Error::new(Code::Unit, reason))
     }
 
-    /// Reads a document as the store keeps it.
+    /// Deserializes a document from the store.
     ///
     /// # Errors
     ///
-    /// When the text is no document.
+    /// Returns an error if the text is not a valid document.
     pub fn decode(text: &str) -> Result<Self> {
         serde_json::from_str(text).map_err(|error| {
             Error::new(Code::StoreData, error.to_string())
@@ -149,13 +152,13 @@
         })
     }
 
-    /// Whether a change of this id is among the last ones.
+    /// Whether the history contains the change with this id.
     pub fn holds(&self, change: Change) -> bool {
         self.history.iter().any(|entry| entry.change == change)
     }
 }
 
-/// A document read and checked, as decisions use it.
+/// A parsed and validated document, as used to handle requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// The document's version.
@@ -164,25 +167,26 @@
     pub tables: Tables,
     /// Teams and keys.
     pub teams: Teams,
-    /// The last order on each failure domain that was ever evacuated, as far as
-    /// this node has heard of it.
+    /// The latest order for each failure domain that was ever evacuated, as far
+    /// as this node knows.
     pub evacuations: BTreeMap<id::Domain, Evacuation>,
-    /// What callers may do, where the configuration says it; else the node's
-    /// settings do.
+    /// Limits on callers, if the configuration sets them; otherwise the node's
+    /// settings apply.
     pub callers: Option<Callers>,
 }
 
-/// An operator's order to send nothing more to the upstreams of a failure domain.
+/// An operator's order to stop sending requests to a failure domain's upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evacuation {
-    /// It holds; else it was taken back.
+    /// Whether the order is in force; `false` if it was revoked.
     pub in_force: bool,
-    /// The revision of the store that shows it; zero where the document does.
+    /// The store revision at which the order was seen; zero if it comes from the
+    /// document.
     pub revision: Revision,
 }
 
 impl Snapshot {
-    /// The failure domains whose upstreams get nothing.
+    /// Returns the evacuated failure domains, whose upstreams receive no requests.
     pub fn evacuated(&self) -> impl Iterator<Item = &id::Domain> {
         let orders = self.evacuations.iter();
         let in_force = orders.filter(|(_, order)| order.in_force);
@@ -193,13 +197,13 @@
 /// Limits on what callers send, from the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Callers {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers.
     pub headers: Size,
-    /// Time for a head to arrive.
+    /// Maximum time to receive a request's headers.
     pub head_time: Span,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle: Span,
 }
 
-/// How decisions hold the version in force.
+/// A shared reference to the current snapshot.
 pub type Shared = Rc<Snapshot>;
