--- a/src/version/commit.rs
+++ b/src/version/commit.rs
@@ -1,12 +1,13 @@
-//! Carries one change into the store, whatever happens to the answers.
+//! Commits one change to the store, tolerating lost answers.
 //!
-//! A write whose answer was lost may have taken effect, may not, or may yet:
-//! the call can still be on its way. So the same write is sent again with the
-//! same expected revision. Only one of the two can take effect, because a
-//! revision never comes back, and the answer then tells which: swapped now,
-//! or a conflict with a document whose history holds this change's id, also
-//! when later changes have followed, or with one that does not hold it, so
-//! that it certainly has not taken effect and never will.
+//! A write whose answer was lost may have taken effect or may still do so,
+//! because the call can still be in flight. The same write is therefore retried
+//! with the same expected revision. At most one of the two can take effect,
+//! because revisions are never reused. The answer to the retry tells what
+//! happened: it succeeds, or it conflicts with a document whose history contains
+//! this change's id (the first write took effect, even if later changes have
+//! followed), or with one whose history does not (the first write did not take
+//! effect and never will).
 
 use rand::{
     RngExt,
@@ -45,71 +46,72 @@
     },
 };
 
-/// Lost answers in a row after which the store counts as out.
-const LOST_LIMIT: u32 = 10;
-/// Lost races after which the operator is asked to come again.
-const RACE_LIMIT: u32 = 100;
-/// The first wait after a lost answer; it doubles up to [`WAIT_LIMIT`].
-const WAIT: Span = Span::from_ms(100);
-/// The longest wait after a lost answer.
-const WAIT_LIMIT: Span = Span::from_secs(2);
+/// Consecutive lost answers after which the store is considered unavailable.
+const LOST_ANSWER_LIMIT: u32 = 10;
+/// Conflicts with other writers after which the commit is abandoned.
+const CONFLICT_LIMIT: u32 = 100;
+/// The initial retry delay after a lost answer; it doubles up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Span = Span::from_ms(100);
+/// The maximum retry delay after a lost answer.
+const MAX_RETRY_DELAY: Span = Span::from_secs(2);
 
 /// What to do next.
 #[derive(Debug)]
 pub enum Step {
-    /// Wait so long, make the call, and hand in its answer.
+    /// Wait for the given time, make the call, and pass its answer to
+    /// [`Commit::on`].
     Call(Span, Call),
-    /// The change is in the store, or there was nothing to change.
+    /// The change was committed, is a finished dry run, or changes nothing.
     Done(Box<Done>),
-    /// The change is not in the store, or the one error says that this is
+    /// The change was not committed, or the only error says that the outcome is
     /// unknown.
     Failed(Faults),
 }
 
-/// A change that is in the store.
+/// The result of a finished commit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
-    /// The document with the change, or the present one when nothing changed.
+    /// The document with the change, or the current one if nothing changed.
     pub document: Document,
-    /// The version that the change made, if it changed anything.
+    /// The version that the change created, if it changed anything.
     pub version: Option<Version>,
-    /// The rows that it touched.
+    /// The rows that the change modified.
     pub rows: Vec<Row>,
-    /// Races that were lost before it was accepted.
+    /// Conflicts with other writers before the change was accepted.
     pub races: u32,
 }
 
 #[derive(Debug)]
 enum State {
     Reading,
-    Swapping(Box<Swap>),
+    Writing(Box<PendingWrite>),
 }
 
-/// A write under way.
+/// A write that awaits its answer.
 #[derive(Debug)]
-struct Swap {
+struct PendingWrite {
     base: Version,
     next: Document,
     call: Call,
-    /// Whether an answer to this very write was lost.
-    lost: bool,
+    /// Whether an answer to this write was lost.
+    answer_lost: bool,
 }
 
-/// One change on its way into the store.
+/// State machine that commits one change to the store.
 pub struct Commit {
     wish: Wish,
     author: Author,
     since: Option<Version>,
     dry: bool,
     state: State,
-    lost: u32,
+    lost_answers: u32,
     races: u32,
     rng: ChaCha8Rng,
 }
 
 impl Commit {
-    /// A change that has not begun; `seed` gives its id. A dry one goes as far
-    /// as the write and ends there.
+    /// Creates a commit; the change's id is generated from `seed`. A dry run
+    /// stops before the write.
     pub fn new(wish: Wish, author: Author, dry: bool, seed: u64) -> Self {
         let since = match &wish {
             Wish::Tables { since, .. } => Some(*since),
@@ -121,27 +123,27 @@
             since,
             dry,
             state: State::Reading,
-            lost: 0,
+            lost_answers: 0,
             races: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn begin(&self) -> Step {
-        Step::Call(Span::ZERO, read())
+        Step::Call(Span::ZERO, get_document())
     }
 
-    /// Takes the answer to the last call.
+    /// Handles the answer to the last call and returns the next step.
     pub fn on(&mut self, answer: Answer) -> Step {
         if answer == Answer::Lost {
-            return self.again();
+            return self.retry();
         }
-        self.lost = 0;
+        self.lost_answers = 0;
         match (std::mem::replace(&mut self.state, State::Reading), answer) {
             (State::Reading, Answer::Value(entry)) => self.write(entry),
-            (State::Swapping(swap), Answer::Swapped(_)) => self.done(swap.next),
-            (State::Swapping(swap), Answer::Conflict(entry)) => self.raced(&swap, entry),
+            (State::Writing(write), Answer::Swapped(_)) => self.done(write.next),
+            (State::Writing(write), Answer::Conflict(entry)) => self.on_conflict(&write, entry),
             (_, other) => failed(
                 Code::StoreRefused,
                 format!("the store gave no fitting answer: {other:?}"),
@@ -149,25 +151,27 @@
         }
     }
 
-    fn again(&mut self) -> Step {
-        self.lost += 1;
-        let wait = WAIT.scale(f64::from(1 << self.lost.min(8)) / 2.0);
-        let wait = wait.min(WAIT_LIMIT);
+    fn retry(&mut self) -> Step {
+        self.lost_answers += 1;
+        let delay = INITIAL_RETRY_DELAY.scale(f64::from(1 << self.lost_answers.min(8)) / 2.0);
+        let delay = delay.min(MAX_RETRY_DELAY);
         match &mut self.state {
-            State::Reading if self.lost < LOST_LIMIT => Step::Call(wait, read()),
+            State::Reading if self.lost_answers < LOST_ANSWER_LIMIT => {
+                Step::Call(delay, get_document())
+            }
             State::Reading => failed(
                 Code::StoreLost,
                 "the store does not answer; nothing was changed",
             ),
-            State::Swapping(swap) if self.lost < LOST_LIMIT => {
-                swap.lost = true;
-                Step::Call(wait, swap.call.clone())
+            State::Writing(write) if self.lost_answers < LOST_ANSWER_LIMIT => {
+                write.answer_lost = true;
+                Step::Call(delay, write.call.clone())
             }
-            State::Swapping(swap) => unknown(&swap.next),
+            State::Writing(write) => outcome_unknown(&write.next),
         }
     }
 
-    /// Prepares the change on what was read, and writes it.
+    /// Applies the change to the document that was read, and writes the result.
     fn write(&mut self, entry: Option<Entry>) -> Step {
         let revision = entry.as_ref().map_or(Revision(0), |entry| entry.revision);
         let present = match entry.map(|entry| Document::decode(&entry.value)) {
@@ -203,17 +207,18 @@
             value: Some(value),
             lease: None,
         };
-        self.state = State::Swapping(Box::new(Swap {
+        self.state = State::Writing(Box::new(PendingWrite {
             base: present.version,
             next,
             call: call.clone(),
-            lost: false,
+            answer_lost: false,
         }));
         Step::Call(Span::ZERO, call)
     }
 
-    /// Somebody else wrote, or this very change did and its answer was lost.
-    fn raced(&mut self, swap: &Swap, entry: Option<Entry>) -> Step {
+    /// Handles a conflict: another writer was first, or this change had already
+    /// been written and its answer was lost.
+    fn on_conflict(&mut self, write: &PendingWrite, entry: Option<Entry>) -> Step {
         let Some(entry) = entry else {
             return failed(Code::StoreData, "the configuration is gone from the store");
         };
@@ -221,15 +226,15 @@
             Ok(present) => present,
             Err(error) => return Step::Failed(vec![error]),
         };
-        if present.holds(swap.next.change) {
-            return self.done(swap.next.clone());
+        if present.holds(write.next.change) {
+            return self.done(write.next.clone());
         }
-        let later = present.version.0.saturating_sub(swap.base.0);
-        if swap.lost && later > present.history.len() as u64 {
-            return unknown(&swap.next);
+        let later = present.version.0.saturating_sub(write.base.0);
+        if write.answer_lost && later > present.history.len() as u64 {
+            return outcome_unknown(&write.next);
         }
         self.races += 1;
-        if self.races > RACE_LIMIT {
+        if self.races > CONFLICT_LIMIT {
             return failed(
                 Code::Conflict,
                 "other operators were faster each time; nothing was changed",
@@ -250,7 +255,7 @@
     }
 }
 
-fn read() -> Call {
+fn get_document() -> Call {
     Call::Get {
         key: KEY.to_owned(),
     }
@@ -260,7 +265,7 @@
     Step::Failed(vec![Error::new(code, reason)])
 }
 
-fn unknown(next: &Document) -> Step {
+fn outcome_unknown(next: &Document) -> Step {
     let reason = format!(
         "whether the change {} took effect as version {} is unknown; `history` tells when the \
          store answers again",
