--- a/src/version/change.rs
+++ b/src/version/change.rs
@@ -1,9 +1,10 @@
-//! One operator's change of the configuration.
+//! Preparation of an operator's change to the configuration.
 //!
-//! A change is one compare-and-swap of the whole document. Operators may race:
-//! the loser reads again and tries again on what the winner wrote, unless both
-//! touched the same row. The document's history says which rows have changed
-//! since the version that the loser had read, and what they said then.
+//! A change is a single compare-and-swap of the whole document. When operators
+//! race, the loser reads the document again and reapplies its change to what the
+//! winner wrote, unless both modified the same row. The document's history lists
+//! the rows modified since the version that the loser had read, with checksums
+//! of their previous fields.
 
 use std::collections::{
     BTreeMap,
@@ -41,20 +42,22 @@
     },
 };
 
-/// Changes that the history keeps.
+/// Maximum number of changes in the history.
 const HISTORY_LIMIT: usize = 64;
-/// Touched rows that the history keeps, beside those of the last change.
-const TOUCHED_LIMIT: usize = 512;
+/// Maximum number of modified rows in the history, not counting those of the
+/// latest change.
+const HISTORY_ROW_LIMIT: usize = 512;
 
-/// All faults of a change that breaks the checks, or the one other error.
+/// All validation errors of a change, or the single error of another kind.
 pub type Faults = Vec<Error>;
 
-/// Changes single rows of a document.
+/// A function that modifies single rows of a document.
 pub type Edit = Box<dyn Fn(&mut Document) -> Result<()>>;
 
-/// What an operator wants.
+/// A change that an operator requests.
 pub enum Wish {
-    /// Both tables as in these texts, which were made from a version.
+    /// Replace both tables with these texts, which are based on a version that
+    /// the operator read.
     Tables {
         /// The version that the operator read.
         since: Version,
@@ -63,26 +66,26 @@
         /// The table of pools.
         pools: String,
     },
-    /// An edit of single rows, as they are now.
+    /// Edit single rows of the current document.
     Edit(Edit),
 }
 
-/// Who wants it, for the history.
+/// The author of a change, as recorded in the history.
 #[derive(Clone, Debug)]
 pub struct Author {
     /// The operator.
     pub by: String,
-    /// The command in short.
+    /// A short form of the command.
     pub what: String,
-    /// The wall clock, in milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub at: u64,
 }
 
-/// A document's rows of every kind by what they say.
+/// Returns the fields of all rows of a document, of every kind.
 ///
 /// # Errors
 ///
-/// When a text cannot be read.
+/// Returns an error if a table's text cannot be parsed.
 pub fn rows(document: &Document) -> Result<BTreeMap<Row, Fields>> {
     let mut all = BTreeMap::new();
     for (name, fields) in edit::rows(&document.routes)? {
@@ -112,11 +115,12 @@
     }
 }
 
-/// The rows that differ between two documents, with what they said before.
+/// Returns the rows that differ between two documents, with checksums of their
+/// previous fields.
 ///
 /// # Errors
 ///
-/// When a text cannot be read.
+/// Returns an error if a table's text cannot be parsed.
 pub fn touched(before: &Document, after: &Document) -> Result<Vec<Touched>> {
     let (before, after) = (rows(before)?, rows(after)?);
     let names: BTreeSet<_> = before.keys().chain(after.keys()).collect();
@@ -130,12 +134,12 @@
     Ok(differ.map(touch).collect())
 }
 
-/// The next document, or nothing when the wish changes nothing.
+/// Returns the next document, or `None` if the request changes nothing.
 ///
 /// # Errors
 ///
-/// Every fault that the change would bring, or the rows that another operator
-/// has changed since the version that this one had read.
+/// Returns every validation error that the change would cause, or a conflict
+/// that names the rows that another operator has changed since version `since`.
 pub fn prepare(
     present: &Document,
     since: Version,
@@ -145,23 +149,23 @@
 ) -> Result<Option<Document>, Faults> {
     let mut next = present.clone();
     match wish {
-        Wish::Edit(edit) => edit(&mut next).map_err(one)?,
+        Wish::Edit(edit) => edit(&mut next).map_err(single)?,
         Wish::Tables { routes, pools, .. } => {
-            faulty(&Texts {
+            validate_tables(&Texts {
                 routes,
                 pools,
                 ..Texts::of(present)
             })?;
-            merge(&mut next, since, routes, pools).map_err(one)?;
+            merge(&mut next, since, routes, pools).map_err(single)?;
         }
     }
-    faults(&next)?;
-    let rows = touched(present, &next).map_err(one)?;
+    validate(&next)?;
+    let rows = touched(present, &next).map_err(single)?;
     if rows.is_empty() && next == *present {
         return Ok(None);
     }
     if let Wish::Edit(_) = wish {
-        disjoint(present, since, &rows).map_err(one)?;
+        check_disjoint(present, since, &rows).map_err(single)?;
     }
     next.version = Version(present.version.0 + 1);
     next.change = change;
@@ -173,16 +177,16 @@
         what: author.what.clone(),
         rows,
     };
-    remember(&mut next.history, entry);
-    next.encode().map_err(one)?;
+    record(&mut next.history, entry);
+    next.encode().map_err(single)?;
     Ok(Some(next))
 }
 
-fn one(error: Error) -> Faults {
+fn single(error: Error) -> Faults {
     vec![error]
 }
 
-fn faulty(texts: &Texts<'_>) -> Result<(), Faults> {
+fn validate_tables(texts: &Texts<'_>) -> Result<(), Faults> {
     let mut faults = Vec::new();
     check::tables(texts, &mut faults);
     if faults.is_empty() {
@@ -192,7 +196,7 @@
     }
 }
 
-fn faults(document: &Document) -> Result<(), Faults> {
+fn validate(document: &Document) -> Result<(), Faults> {
     let mut faults = Vec::new();
     check::tables(&Texts::of(document), &mut faults);
     check::teams(&document.teams, &mut faults);
@@ -203,7 +207,7 @@
     }
 }
 
-fn remember(history: &mut Vec<Entry>, entry: Entry) {
+fn record(history: &mut Vec<Entry>, entry: Entry) {
     history.insert(0, entry);
     history.truncate(HISTORY_LIMIT);
     let older = history[1..].iter().map(|entry| entry.rows.len());
@@ -211,12 +215,13 @@
         *sum += rows;
         Some(*sum)
     });
-    let kept = sums.take_while(|sum| *sum <= TOUCHED_LIMIT).count();
+    let kept = sums.take_while(|sum| *sum <= HISTORY_ROW_LIMIT).count();
     history.truncate(1 + kept);
 }
 
-/// What every row that others touched since a version said at that version.
-fn others(present: &Document, since: Version) -> Result<BTreeMap<Row, Option<u64>>> {
+/// Returns the rows that others modified since a version, with checksums of
+/// their fields at that version.
+fn changes_since(present: &Document, since: Version) -> Result<BTreeMap<Row, Option<u64>>> {
     if since > present.version {
         let reason = format!(
             "the version {since} does not exist yet, the newest is {}",
@@ -233,7 +238,7 @@
         return Err(Error::new(Code::Conflict, reason));
     }
     let mut rows = BTreeMap::new();
-    // Newest first, so that the oldest change has the last word.
+    // Newest first, so that the oldest change's checksum overwrites later ones.
     for entry in &present.history[..missed] {
         for touched in &entry.rows {
             rows.insert(touched.row.clone(), touched.before);
@@ -242,16 +247,16 @@
     Ok(rows)
 }
 
-fn disjoint(present: &Document, since: Version, ours: &[Touched]) -> Result<()> {
-    let others = others(present, since)?;
-    let both = ours
+fn check_disjoint(present: &Document, since: Version, ours: &[Touched]) -> Result<()> {
+    let others = changes_since(present, since)?;
+    let conflicts = ours
         .iter()
         .map(|t| &t.row)
         .filter(|row| others.contains_key(*row));
-    refuse(both, present.version)
+    reject_conflicts(conflicts, present.version)
 }
 
-fn refuse<'a>(rows: impl Iterator<Item = &'a Row>, version: Version) -> Result<()> {
+fn reject_conflicts<'a>(rows: impl Iterator<Item = &'a Row>, version: Version) -> Result<()> {
     let names: Vec<_> = rows.map(Row::to_string).collect();
     if names.is_empty() {
         return Ok(());
@@ -263,49 +268,50 @@
     Err(Error::new(Code::Conflict, reason))
 }
 
-/// Puts the operator's tables in force, and keeps what others have changed
-/// since the version that the operator read.
+/// Merges the operator's tables into the document, keeping what others have
+/// changed since the version that the operator read.
 fn merge(next: &mut Document, since: Version, routes: &str, pools: &str) -> Result<()> {
     if since == next.version {
         routes.clone_into(&mut next.routes);
         pools.clone_into(&mut next.pools);
         return Ok(());
     }
-    let others = others(next, since)?;
-    let mut both = Vec::new();
-    let mut side = |text: &str, ours: &str, row: &dyn Fn(&str) -> Result<Row>| -> Result<String> {
-        let (present, ours) = (edit::rows(text)?, edit::rows(ours)?);
-        let mut text = text.to_owned();
-        for name in differing(&present, &ours) {
-            let id = row(name)?;
-            let mine = ours.get(name);
-            let theirs = others.get(&id);
-            let base = theirs
-                .copied()
-                .unwrap_or_else(|| present.get(name).map(edit::checksum));
-            if mine.map(edit::checksum) == base {
-                continue;
+    let others = changes_since(next, since)?;
+    let mut conflicts = Vec::new();
+    let mut merge_table =
+        |text: &str, ours: &str, row: &dyn Fn(&str) -> Result<Row>| -> Result<String> {
+            let (present, ours) = (edit::rows(text)?, edit::rows(ours)?);
+            let mut text = text.to_owned();
+            for name in differing_rows(&present, &ours) {
+                let id = row(name)?;
+                let mine = ours.get(name);
+                let theirs = others.get(&id);
+                let base = theirs
+                    .copied()
+                    .unwrap_or_else(|| present.get(name).map(edit::checksum));
+                if mine.map(edit::checksum) == base {
+                    continue;
+                }
+                if theirs.is_some() {
+                    conflicts.push(id);
+                    continue;
+                }
+                text = match mine {
+                    Some(fields) => edit::replace(&text, name, fields)?,
+                    None => edit::remove(&text, name)?,
+                };
             }
-            if theirs.is_some() {
-                both.push(id);
-                continue;
-            }
-            text = match mine {
-                Some(fields) => edit::replace(&text, name, fields)?,
-                None => edit::remove(&text, name)?,
-            };
-        }
-        Ok(text)
-    };
-    let routes = side(&next.routes, routes, &|name| Ok(Row::Route(name.parse()?)))?;
-    let pools = side(&next.pools, pools, &|name| Ok(Row::Pool(name.parse()?)))?;
-    refuse(both.iter(), next.version)?;
+            Ok(text)
+        };
+    let routes = merge_table(&next.routes, routes, &|name| Ok(Row::Route(name.parse()?)))?;
+    let pools = merge_table(&next.pools, pools, &|name| Ok(Row::Pool(name.parse()?)))?;
+    reject_conflicts(conflicts.iter(), next.version)?;
     next.routes = routes;
     next.pools = pools;
     Ok(())
 }
 
-fn differing<'a>(one: &'a Rows, other: &'a Rows) -> impl Iterator<Item = &'a str> {
+fn differing_rows<'a>(one: &'a Rows, other: &'a Rows) -> impl Iterator<Item = &'a str> {
     let names: BTreeSet<_> = one.keys().chain(other.keys()).collect();
     let differ = names
         .into_iter()
