--- a/src/command/access.rs
+++ b/src/command/access.rs
@@ -22,7 +22,7 @@
     change::{
         Author,
         Edit,
-        Wish, //
+        Proposal, //
     },
     client::Client,
     clock::{
@@ -153,7 +153,7 @@
 
     /// Edits rows and prints what came of it.
     pub(super) fn edit(&self, what: String, edit: Edit) -> Result<Done, Failure> {
-        let done = self.commit(what, Wish::Edit(edit))?;
+        let done = self.commit(what, Proposal::Edit(edit))?;
         self.print(&done);
         self.wait(&done)?;
         Ok(done)
@@ -174,7 +174,7 @@
     }
 
     /// Carries a change into the store.
-    pub(super) fn commit(&self, what: String, wish: Wish) -> Result<Done, Failure> {
+    pub(super) fn commit(&self, what: String, wish: Proposal) -> Result<Done, Failure> {
         self.rollout.check()?;
         let author = Author {
             by: self.by.clone(),
--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -21,7 +21,7 @@
     },
 };
 use crate::{
-    change::Wish,
+    change::Proposal,
     id::Version, //
 };
 
@@ -53,7 +53,7 @@
         Some(version) => version,
         None => files.version()?,
     };
-    let wish = Wish::Tables {
+    let wish = Proposal::Tables {
         since,
         routes: files.routes.text.clone(),
         pools: files.pools.text.clone(),
--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -38,7 +38,7 @@
     operator::Operator, //
 };
 use crate::{
-    change::Wish,
+    change::Proposal,
     clock::{
         Clock,
         Span, //
@@ -271,7 +271,7 @@
             keys.retain(|key| key.name.as_str() != "mills-old");
             Ok(())
         };
-        let wish = Wish::Edit(Box::new(edit));
+        let wish = Proposal::Edit(Box::new(edit));
         self.site.commit("key withdraw mills-old", wish).await?;
         let mut ledger = self.ledger.borrow_mut();
         ledger.withdraw("mills mills-old", Clock.now());
@@ -285,7 +285,7 @@
             document.routes = edit::set(&document.routes, "search", &fields)?;
             Ok(())
         };
-        let wish = Wish::Edit(Box::new(edit));
+        let wish = Proposal::Edit(Box::new(edit));
         let done = self.site.commit("route set search", wish).await?;
         let begin = Clock.now();
         let version = done.document.version;
--- a/src/command/demo/site.rs
+++ b/src/command/demo/site.rs
@@ -20,7 +20,7 @@
     change::{
         Author,
         Edit,
-        Wish, //
+        Proposal, //
     },
     client::Client,
     clock::{
@@ -152,7 +152,7 @@
             instances: Vec::new(),
             keys: Vec::new(),
         };
-        let tables = Wish::Tables {
+        let tables = Proposal::Tables {
             since: id::Version(0),
             routes: ROUTES.to_owned(),
             pools: POOLS.to_owned(),
@@ -193,7 +193,7 @@
                 document.teams.keys.extend(keys.iter().cloned());
                 Ok(())
             });
-            self.commit("team set", Wish::Edit(edit)).await?;
+            self.commit("team set", Proposal::Edit(edit)).await?;
         }
         Ok(())
     }
@@ -244,7 +244,7 @@
     }
 
     /// Carries a change into the platform's service.
-    pub(super) async fn commit(&self, what: &str, wish: Wish) -> Result<Done> {
+    pub(super) async fn commit(&self, what: &str, wish: Proposal) -> Result<Done> {
         let author = Author {
             by: "demo".to_owned(),
             what: what.to_owned(),
--- a/src/command/key.rs
+++ b/src/command/key.rs
@@ -73,7 +73,7 @@
         keys.push(key.clone());
         Ok(())
     };
-    let done = manner.commit(what, crate::change::Wish::Edit(Box::new(edit)))?;
+    let done = manner.commit(what, crate::change::Proposal::Edit(Box::new(edit)))?;
     // A key of a dry run was never stored and would not work.
     if manner.is_dry() {
         manner.print(&done);
--- a/src/version/change.rs
+++ b/src/version/change.rs
@@ -55,7 +55,7 @@
 pub type Edit = Box<dyn Fn(&mut Document) -> Result<()>>;
 
 /// A change that an operator requests.
-pub enum Wish {
+pub enum Proposal {
     /// Replace both tables with these texts, which are based on a version that
     /// the operator read.
     Tables {
@@ -143,14 +143,14 @@
 pub fn prepare(
     present: &Document,
     since: Version,
-    wish: &Wish,
+    proposal: &Proposal,
     author: &Author,
     change: Change,
 ) -> Result<Option<Document>, Faults> {
     let mut next = present.clone();
-    match wish {
-        Wish::Edit(edit) => edit(&mut next).map_err(single)?,
-        Wish::Tables { routes, pools, .. } => {
+    match proposal {
+        Proposal::Edit(edit) => edit(&mut next).map_err(single)?,
+        Proposal::Tables { routes, pools, .. } => {
             validate_tables(&Texts {
                 routes,
                 pools,
@@ -164,7 +164,7 @@
     if rows.is_empty() && next == *present {
         return Ok(None);
     }
-    if let Wish::Edit(_) = wish {
+    if let Proposal::Edit(_) = proposal {
         check_disjoint(present, since, &rows).map_err(single)?;
     }
     next.version = Version(present.version.0 + 1);
--- a/src/version/commit.rs
+++ b/src/version/commit.rs
@@ -20,7 +20,7 @@
         self,
         Author,
         Faults,
-        Wish, //
+        Proposal, //
     },
     document::{
         Document,
@@ -99,7 +99,7 @@
 
 /// State machine that commits one change to the store.
 pub struct Commit {
-    wish: Wish,
+    proposal: Proposal,
     author: Author,
     since: Option<Version>,
     dry: bool,
@@ -112,13 +112,13 @@
 impl Commit {
     /// Creates a commit; the change's id is generated from `seed`. A dry run
     /// stops before the write.
-    pub fn new(wish: Wish, author: Author, dry: bool, seed: u64) -> Self {
-        let since = match &wish {
-            Wish::Tables { since, .. } => Some(*since),
-            Wish::Edit(_) => None,
+    pub fn new(proposal: Proposal, author: Author, dry: bool, seed: u64) -> Self {
+        let since = match &proposal {
+            Proposal::Tables { since, .. } => Some(*since),
+            Proposal::Edit(_) => None,
         };
         Self {
-            wish,
+            proposal,
             author,
             since,
             dry,
@@ -181,7 +181,7 @@
         };
         let since = *self.since.get_or_insert(present.version);
         let change = Change(self.rng.random());
-        let next = change::prepare(&present, since, &self.wish, &self.author, change);
+        let next = change::prepare(&present, since, &self.proposal, &self.author, change);
         let next = match next {
             Ok(Some(next)) => next,
             Ok(None) => {
--- a/tests/tables/commit.rs
+++ b/tests/tables/commit.rs
@@ -4,7 +4,7 @@
     Category,
     change::{
         Author,
-        Wish, //
+        Proposal, //
     },
     clock::Time,
     commit::{
@@ -51,9 +51,9 @@
 }
 
 /// Sets one field of a pool's row.
-fn set(pool: &str, queue: u32) -> Wish {
+fn set(pool: &str, queue: u32) -> Proposal {
     let pool = pool.to_owned();
-    Wish::Edit(Box::new(move |document: &mut Document| {
+    Proposal::Edit(Box::new(move |document: &mut Document| {
         let fields = [("queue".to_owned(), Some(queue.into()))];
         document.pools = edit::set(&document.pools, &pool, &fields)?;
         Ok(())
@@ -61,8 +61,8 @@
 }
 
 /// Adds one to a field, so that a change made twice shows.
-fn add(pool: String) -> Wish {
-    Wish::Edit(Box::new(move |document: &mut Document| {
+fn add(pool: String) -> Proposal {
+    Proposal::Edit(Box::new(move |document: &mut Document| {
         let rows = edit::rows(&document.pools)?;
         let queue = rows.get(&pool).and_then(|row| row["queue"].as_u64());
         let fields = [("queue".to_owned(), Some((queue.unwrap_or(0) + 1).into()))];
@@ -71,8 +71,8 @@
     }))
 }
 
-fn tables(since: u64, routes: &str, pools: &str) -> Wish {
-    Wish::Tables {
+fn tables(since: u64, routes: &str, pools: &str) -> Proposal {
+    Proposal::Tables {
         since: Version(since),
         routes: routes.into(),
         pools: pools.into(),
@@ -90,7 +90,7 @@
 /// Runs a change whose calls fare as scripted, and then well.
 fn run(
     map: &mut Map,
-    wish: Wish,
+    wish: Proposal,
     seed: u64,
     fates: &[Fate],
 ) -> Result<Done, bluebellswitch::Error> {
@@ -100,7 +100,7 @@
 /// As [`run`], with something that happens before each call.
 fn run_with(
     map: &mut Map,
-    wish: Wish,
+    wish: Proposal,
     seed: u64,
     fates: &[Fate],
     mut before: impl FnMut(&mut Map, &Call),
@@ -126,7 +126,7 @@
     }
 }
 
-fn accept(map: &mut Map, wish: Wish) -> Version {
+fn accept(map: &mut Map, wish: Proposal) -> Version {
     run(map, wish, 1, &[]).expect("accepted").document.version
 }
 
@@ -199,7 +199,7 @@
 }
 
 /// Two operators read version 1; the first changes another row, or the same.
-fn race(ours: Wish, theirs: Wish, want: Result<u64, &str>) {
+fn race(ours: Proposal, theirs: Proposal, want: Result<u64, &str>) {
     let mut map = Map::default();
     accept(&mut map, tables(0, BOTH, POOLS));
     let mut theirs = Some(theirs);
