--- a/src/version/check.rs
+++ b/src/version/check.rs
@@ -165,7 +165,7 @@
     for Row { row, places, .. } in routes {
         let path = match &row.prefix {
             Some(prefix) => prefix.clone(),
-            None => pattern::shape(&row.path),
+            None => pattern::normalize_parameters(&row.path),
         };
         let key = (&row.host, row.prefix.is_some(), path, &row.method);
         match first.get(&key) {
--- a/src/version/parse.rs
+++ b/src/version/parse.rs
@@ -131,7 +131,7 @@
         fields.require("path");
     }
     let path = fields.string("path").map(str::to_owned);
-    let path = checked(&mut fields, "path", path, pattern::fault);
+    let path = checked(&mut fields, "path", path, pattern::validate);
     if prefix.is_some() && path.is_some() {
         let reason = "a route has a `path` or a `prefix`, not both";
         fields.field_fault("prefix", reason.to_owned());
--- a/src/version/pattern.rs
+++ b/src/version/pattern.rs
@@ -1,49 +1,51 @@
-//! Which paths a route matches, and which of two matches is more specific.
+//! Path patterns: matching, ordering by specificity, and validation.
 //!
-//! A request's path is compared in canonical form, so that no other spelling
-//! of a path dodges the row that is meant for it: percent-encoded characters
-//! are decoded first, and a slash at the end makes no difference. A path that
-//! an upstream might resolve to another one, by `//`, `.`, `..`, an encoded
-//! slash or a backslash, matches nothing.
+//! Request paths are normalized before matching, so that an alternative
+//! spelling cannot bypass the route configured for a path: percent-encoding is
+//! decoded and a trailing slash is ignored. A path that an upstream might
+//! resolve to a different one (because it contains `//`, `.`, `..`, an encoded
+//! slash or a backslash) matches no pattern.
 
 use std::borrow::Cow;
 
-/// How closely one part of a pattern says what it matches; closer is greater.
+/// Specificity of one pattern segment; more specific variants compare greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Closeness {
-    /// Any number of segments, written `*` at the end.
-    Rest,
-    /// Any one segment, written `{name}`.
-    Any,
-    /// Just this segment.
+pub(crate) enum Specificity {
+    /// Any number of remaining segments, written as a trailing `*`.
+    Wildcard,
+    /// Any single segment, written `{name}`.
+    Parameter,
+    /// A literal segment.
     Exact,
-    /// The end of the path.
+    /// The end of a pattern without a trailing `*`.
     End,
 }
 
-/// Reads a request's path into canonical segments.
+/// Splits a request path into normalized segments.
 ///
-/// The path `/` has no segment. `None` is a path that no route may match.
+/// The path `/` has no segments. Returns `None` if no pattern may match the
+/// path.
 pub(crate) fn segments(path: &str) -> Option<Vec<Cow<'_, [u8]>>> {
     let path = path.strip_prefix('/')?;
     let path = path.strip_suffix('/').unwrap_or(path);
     if path.is_empty() {
         return Some(Vec::new());
     }
-    path.split('/').map(segment).collect()
+    path.split('/').map(decode_segment).collect()
 }
 
-fn segment(text: &str) -> Option<Cow<'_, [u8]>> {
+fn decode_segment(text: &str) -> Option<Cow<'_, [u8]>> {
     let bytes = match text.contains('%') {
-        true => Cow::Owned(decode(text.as_bytes())?),
+        true => Cow::Owned(percent_decode(text.as_bytes())?),
         false => Cow::Borrowed(text.as_bytes()),
     };
-    let dodges = matches!(&*bytes, b"" | b"." | b"..");
-    let plain = |byte: &u8| !byte.is_ascii_control() && !matches!(byte, b'/' | b'\\' | b'?' | b'#');
-    (!dodges && bytes.iter().all(plain)).then_some(bytes)
+    let ambiguous = matches!(&*bytes, b"" | b"." | b"..");
+    let allowed =
+        |byte: &u8| !byte.is_ascii_control() && !matches!(byte, b'/' | b'\\' | b'?' | b'#');
+    (!ambiguous && bytes.iter().all(allowed)).then_some(bytes)
 }
 
-fn decode(text: &[u8]) -> Option<Vec<u8>> {
+fn percent_decode(text: &[u8]) -> Option<Vec<u8>> {
     let digit = |byte: &u8| char::from(*byte).to_digit(16);
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text;
@@ -62,47 +64,49 @@
     Some(bytes)
 }
 
-/// Whether a pattern matches a path in canonical form.
+/// Returns whether a pattern matches a path split by [`segments`].
 pub(crate) fn matches(pattern: &str, path: &[Cow<'_, [u8]>]) -> bool {
-    let mut have = path.iter();
-    for want in parts(pattern) {
-        if want == "*" {
+    let mut remaining = path.iter();
+    for expected in pattern_segments(pattern) {
+        if expected == "*" {
             return true;
         }
-        match have.next() {
-            Some(segment) if want.starts_with('{') || want.as_bytes() == &**segment => {}
+        match remaining.next() {
+            Some(segment) if expected.starts_with('{') || expected.as_bytes() == &**segment => {}
             _ => return false,
         }
     }
-    have.next().is_none()
+    remaining.next().is_none()
 }
 
-/// Orders patterns that match the same path: the first part that differs
-/// decides, and an exact segment goes before `{name}`, that before `*`.
-pub(crate) fn closeness(pattern: &str) -> impl Iterator<Item = Closeness> + '_ {
-    let rest = pattern.ends_with("/*");
-    parts(pattern)
+/// Returns the sort key of a pattern among those that match the same path.
+///
+/// Keys compare segment by segment: a literal segment is more specific than
+/// `{name}`, which is more specific than `*`.
+pub(crate) fn specificity(pattern: &str) -> impl Iterator<Item = Specificity> + '_ {
+    let has_wildcard = pattern.ends_with("/*");
+    pattern_segments(pattern)
         .map(|part| match part {
-            "*" => Closeness::Rest,
-            part if part.starts_with('{') => Closeness::Any,
-            _ => Closeness::Exact,
+            "*" => Specificity::Wildcard,
+            part if part.starts_with('{') => Specificity::Parameter,
+            _ => Specificity::Exact,
         })
-        .chain((!rest).then_some(Closeness::End))
+        .chain((!has_wildcard).then_some(Specificity::End))
 }
 
-/// The pattern with all `{name}` alike: two patterns with the same shape match
-/// the same paths.
-pub(crate) fn shape(pattern: &str) -> String {
-    let mut shape = String::new();
-    for part in parts(pattern) {
-        shape.push('/');
-        shape.push_str(if part.starts_with('{') { "{}" } else { part });
+/// Replaces every `{name}` by `{}`. Patterns with the same result match the
+/// same paths.
+pub(crate) fn normalize_parameters(pattern: &str) -> String {
+    let mut normalized = String::new();
+    for part in pattern_segments(pattern) {
+        normalized.push('/');
+        normalized.push_str(if part.starts_with('{') { "{}" } else { part });
     }
-    shape
+    normalized
 }
 
-/// Says what is wrong with a pattern.
-pub(crate) fn fault(pattern: &str) -> Option<String> {
+/// Returns the reason why a pattern is invalid, if it is.
+pub(crate) fn validate(pattern: &str) -> Option<String> {
     let Some(rest) = pattern.strip_prefix('/') else {
         return Some(format!("the path `{pattern}` must begin with `/`"));
     };
@@ -113,7 +117,7 @@
     let count = rest.split('/').count();
     for (index, part) in rest.split('/').enumerate() {
         let last = index + 1 == count;
-        if let Some(reason) = part_fault(part, last) {
+        if let Some(reason) = validate_segment(part, last) {
             return Some(format!("the path `{pattern}` {reason}"));
         }
         if part.starts_with('{') && names.contains(&part) {
@@ -124,15 +128,15 @@
     None
 }
 
-fn part_fault(part: &str, last: bool) -> Option<&'static str> {
+fn validate_segment(part: &str, last: bool) -> Option<&'static str> {
     let name = part.strip_prefix('{').and_then(|p| p.strip_suffix('}'));
-    let word = |name: &str| {
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        !name.is_empty() && name.chars().all(plain)
+    let valid_name = |name: &str| {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
+        !name.is_empty() && name.chars().all(allowed)
     };
     match (part, name) {
         ("*", _) if last => None,
-        (_, Some(name)) if word(name) => None,
+        (_, Some(name)) if valid_name(name) => None,
         ("", _) => Some("has an empty segment: leave out `//` and the `/` at the end"),
         ("." | "..", _) => Some("has a segment `.` or `..`"),
         _ if part.contains('*') => Some("may have `*` only as its whole last segment"),
@@ -146,7 +150,7 @@
     }
 }
 
-fn parts(pattern: &str) -> impl Iterator<Item = &str> {
+fn pattern_segments(pattern: &str) -> impl Iterator<Item = &str> {
     let rest = pattern.strip_prefix('/').unwrap_or(pattern);
     rest.split('/').filter(|part| !part.is_empty())
 }
--- a/src/version/tables.rs
+++ b/src/version/tables.rs
@@ -216,7 +216,7 @@
         });
         candidates.max_by(|a, b| {
             let hosts = a.host.is_some().cmp(&b.host.is_some());
-            let paths = || pattern::closeness(&a.path).cmp(pattern::closeness(&b.path));
+            let paths = || pattern::specificity(&a.path).cmp(pattern::specificity(&b.path));
             let methods = || a.method.is_some().cmp(&b.method.is_some());
             hosts.then_with(paths).then_with(methods)
         })
