--- a/src/version/check.rs
+++ b/src/version/check.rs
@@ -146,7 +146,7 @@
 }
 
 fn limits(source: Source<'_>, pools: &[Row<Pool>], faults: &mut Vec<Error>) {
-    for Row { row, places, .. } in pools {
+    for Row { row, offsets, .. } in pools {
         if let (Some(slots), Some(connections)) = (row.slots, row.connections)
             && connections < slots
         {
@@ -154,7 +154,7 @@
                 "the pool `{}` cannot run {slots} requests over {connections} connections",
                 row.name
             );
-            faults.push(source.fault(Code::Cross, places.of("connections"), reason));
+            faults.push(source.error(Code::Cross, offsets.of("connections"), reason));
         }
     }
 }
@@ -162,7 +162,7 @@
 /// Two rows that match the same requests: which one is meant cannot be known.
 fn matches(source: Source<'_>, routes: &[Row<Route>], faults: &mut Vec<Error>) {
     let mut first = BTreeMap::new();
-    for Row { row, places, .. } in routes {
+    for Row { row, offsets, .. } in routes {
         let path = match &row.prefix {
             Some(prefix) => prefix.clone(),
             None => pattern::normalize_parameters(&row.path),
@@ -177,7 +177,7 @@
                     "the routes `{other}` and `{}` match the same requests",
                     row.name
                 );
-                faults.push(source.fault(Code::Cross, places.of("path"), reason));
+                faults.push(source.error(Code::Cross, offsets.of("path"), reason));
             }
         }
     }
@@ -190,12 +190,12 @@
     names: &BTreeSet<String>,
     faults: &mut Vec<Error>,
 ) {
-    for Row { row, places, .. } in routes {
+    for Row { row, offsets, .. } in routes {
         let parts = row.split.iter().map(|part| ("split", &part.pool));
         for (field, pool) in std::iter::once(("pool", &row.pool)).chain(parts) {
             if !names.contains(pool.as_str()) {
                 let reason = format!("the route `{}` goes to no pool: `{pool}`", row.name);
-                faults.push(source.fault(Code::Cross, places.of(field), reason));
+                faults.push(source.error(Code::Cross, offsets.of(field), reason));
             }
         }
         let pool = pools.iter().find(|pool| pool.row.name == row.pool);
@@ -206,7 +206,7 @@
                 "the deadline {} of the route `{}` cannot fit the queue delay {} of the pool `{}`",
                 row.deadline, row.name, pool.row.delay, row.pool
             );
-            faults.push(source.fault(Code::Cross, places.of("deadline"), reason));
+            faults.push(source.error(Code::Cross, offsets.of("deadline"), reason));
         }
     }
 }
@@ -226,7 +226,7 @@
                 None => Some(format!("the route `{}` calls no route: `{name}`", row.name)),
                 Some(nested) => call_fault(row, &nested.row),
             };
-            faults.extend(reason.map(|reason| source.fault(Code::Cross, *at, reason)));
+            faults.extend(reason.map(|reason| source.error(Code::Cross, *at, reason)));
         }
     }
 }
