--- a/src/request/ingress/arrival.rs
+++ b/src/request/ingress/arrival.rs
@@ -112,9 +112,9 @@
             route: route.name.clone(),
             pool: match route.split.is_empty() {
                 true => route.pool.clone(),
-                false => route.pick(env.rng.random()).clone(),
+                false => route.select_pool(env.rng.random()).clone(),
             },
-            idempotent: route.repeatable(&arrival.method),
+            idempotent: route.is_idempotent(&arrival.method),
             replayable: arrival.replayable,
             claim: arrival.claim,
             root_arrived,
--- a/src/version/tables.rs
+++ b/src/version/tables.rs
@@ -80,11 +80,11 @@
     pub(super) fn may_repeat(&self) -> bool {
         let method = self.method.as_deref();
         self.idempotent
-            .unwrap_or_else(|| method.is_some_and(|method| self.repeatable(method)))
+            .unwrap_or_else(|| method.is_some_and(|method| self.is_idempotent(method)))
     }
 
     /// Whether a request by this method may run twice.
-    pub fn repeatable(&self, method: &str) -> bool {
+    pub fn is_idempotent(&self, method: &str) -> bool {
         let by_method = matches!(
             method,
             "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE" | "TRACE"
@@ -106,7 +106,7 @@
 impl Route {
     /// The pool for one request: `chance`, from zero to below one, picks among
     /// the parts by their weights.
-    pub fn pick(&self, chance: f64) -> &id::Pool {
+    pub fn select_pool(&self, chance: f64) -> &id::Pool {
         let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
         let mut left = (chance * total as f64) as u64;
         for part in &self.split {
--- a/tests/tables/check.rs
+++ b/tests/tables/check.rs
@@ -174,7 +174,7 @@
     let issue = &snapshot.tables.routes[0];
     assert_eq!(issue.deadline.to_string(), "5s");
     assert_eq!(issue.importance.to_string(), "critical");
-    assert!(!issue.repeatable("POST"));
+    assert!(!issue.is_idempotent("POST"));
     assert_eq!(snapshot.tables.pools[0].slots, Some(50));
     assert_eq!(snapshot.tables.pools[1].slots, None);
 }
