--- a/src/version/check.rs
+++ b/src/version/check.rs
@@ -1,4 +1,5 @@
-//! Checks the tables row by row and against each other, and finds all faults.
+//! Validates the tables, row by row and against each other, and reports all
+//! errors.
 
 use std::collections::{
     BTreeMap,
@@ -36,26 +37,26 @@
     },
 };
 
-/// The file names by which faults of a stored document are told apart.
+/// The file name reported for errors in the route table of a stored document.
 pub const ROUTES: &str = "routes.jsonc";
-/// See [`ROUTES`].
+/// The file name reported for errors in the pool table of a stored document.
 pub const POOLS: &str = "pools.jsonc";
 
-/// The texts of both tables with the names of their files.
+/// The source texts of both tables and their file names.
 #[derive(Clone, Copy, Debug)]
 pub struct Texts<'a> {
-    /// The name of the file of routes.
+    /// The file name of the route table.
     pub routes_file: &'a str,
-    /// The table of routes.
+    /// The text of the route table.
     pub routes: &'a str,
-    /// The name of the file of pools.
+    /// The file name of the pool table.
     pub pools_file: &'a str,
-    /// The table of pools.
+    /// The text of the pool table.
     pub pools: &'a str,
 }
 
 impl<'a> Texts<'a> {
-    /// The texts of a document.
+    /// Returns the table texts of a stored document.
     pub fn of(document: &'a Document) -> Self {
         Self {
             routes_file: ROUTES,
@@ -67,11 +68,11 @@
 }
 
 impl Snapshot {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// The first fault; [`tables`] and [`teams`] find all of them.
+    /// Returns the first error; [`tables`] and [`teams`] report all of them.
     pub fn parse(document: &Document) -> Result<Self, Error> {
         let mut faults = Vec::new();
         let tables = tables(&Texts::of(document), &mut faults);
@@ -82,15 +83,15 @@
                 version: document.version,
                 tables,
                 teams: document.teams.clone(),
-                evacuations: standing(document),
+                evacuations: initial_evacuations(document),
                 callers: None,
             }),
         }
     }
 }
 
-/// The evacuations that a document orders.
-fn standing(document: &Document) -> BTreeMap<id::Domain, Evacuation> {
+/// Returns the evacuations that a document lists.
+fn initial_evacuations(document: &Document) -> BTreeMap<id::Domain, Evacuation> {
     let order = Evacuation {
         in_force: true,
         revision: Revision::default(),
@@ -99,9 +100,10 @@
     domains.map(|domain| (domain.clone(), order)).collect()
 }
 
-/// Reads both tables and adds every fault, in the order of files and places.
+/// Parses and validates both tables and adds all errors, sorted by file and
+/// position.
 ///
-/// The tables are of use only when no fault was added.
+/// The returned tables are usable only if no error was added.
 pub fn tables(texts: &Texts<'_>, faults: &mut Vec<Error>) -> Tables {
     let routes_source = Source {
         file: texts.routes_file,
@@ -111,29 +113,31 @@
         file: texts.pools_file,
         text: texts.pools,
     };
-    let mut found = Vec::new();
-    let routes = parse::routes(routes_source, &mut found);
-    // Where a table cannot be read at all, its rows are unknown rather than
-    // absent, and references to them say nothing.
-    let routes_known = found.iter().all(|f| f.number() != Code::Syntax as u16);
+    let mut route_faults = Vec::new();
+    let routes = parse::routes(routes_source, &mut route_faults);
+    // If a table has a syntax error, its rows are unknown rather than absent,
+    // so references to them are not checked.
+    let routes_known = route_faults
+        .iter()
+        .all(|f| f.number() != Code::Syntax as u16);
     let mut pool_faults = Vec::new();
     let pools = parse::pools(pools_source, &mut pool_faults);
     let pools_known = pool_faults
         .iter()
         .all(|f| f.number() != Code::Syntax as u16);
-    limits(pools_source, &pools, &mut pool_faults);
-    matches(routes_source, &routes, &mut found);
+    check_pool_limits(pools_source, &pools, &mut pool_faults);
+    check_duplicate_matches(routes_source, &routes, &mut route_faults);
     if pools_known {
         let names = parse::names(pools_source);
-        references(routes_source, &routes, &pools, &names, &mut found);
+        check_pool_references(routes_source, &routes, &pools, &names, &mut route_faults);
     }
     if routes_known {
         let names = parse::names(routes_source);
-        calls(routes_source, &routes, &names, &mut found);
+        check_nested_calls(routes_source, &routes, &names, &mut route_faults);
     }
-    sort(&mut found);
-    sort(&mut pool_faults);
-    faults.append(&mut found);
+    sort_by_position(&mut route_faults);
+    sort_by_position(&mut pool_faults);
+    faults.append(&mut route_faults);
     faults.append(&mut pool_faults);
     Tables {
         routes: routes.into_iter().map(|row| row.row).collect(),
@@ -141,11 +145,11 @@
     }
 }
 
-fn sort(faults: &mut [Error]) {
+fn sort_by_position(faults: &mut [Error]) {
     faults.sort_by_key(|fault| (fault.line(), fault.column()));
 }
 
-fn limits(source: Source<'_>, pools: &[Row<Pool>], faults: &mut Vec<Error>) {
+fn check_pool_limits(source: Source<'_>, pools: &[Row<Pool>], faults: &mut Vec<Error>) {
     for Row { row, offsets, .. } in pools {
         if let (Some(slots), Some(connections)) = (row.slots, row.connections)
             && connections < slots
@@ -159,8 +163,9 @@
     }
 }
 
-/// Two rows that match the same requests: which one is meant cannot be known.
-fn matches(source: Source<'_>, routes: &[Row<Route>], faults: &mut Vec<Error>) {
+/// Rejects routes that match the same requests, because neither takes
+/// precedence.
+fn check_duplicate_matches(source: Source<'_>, routes: &[Row<Route>], faults: &mut Vec<Error>) {
     let mut first = BTreeMap::new();
     for Row { row, offsets, .. } in routes {
         let path = match &row.prefix {
@@ -183,7 +188,7 @@
     }
 }
 
-fn references(
+fn check_pool_references(
     source: Source<'_>,
     routes: &[Row<Route>],
     pools: &[Row<Pool>],
@@ -211,8 +216,9 @@
     }
 }
 
-/// What a route says of nested calls must hold for the nested routes.
-fn calls(
+/// Checks the deadline and idempotence of each route against the routes that
+/// it calls.
+fn check_nested_calls(
     source: Source<'_>,
     routes: &[Row<Route>],
     names: &BTreeSet<String>,
@@ -224,25 +230,25 @@
             let reason = match nested {
                 None if names.contains(name) => None,
                 None => Some(format!("the route `{}` calls no route: `{name}`", row.name)),
-                Some(nested) => call_fault(row, &nested.row),
+                Some(nested) => validate_nested_call(row, &nested.row),
             };
             faults.extend(reason.map(|reason| source.error(Code::Cross, *at, reason)));
         }
     }
 }
 
-fn call_fault(outer: &Route, nested: &Route) -> Option<String> {
-    // A nested call gets what is left of the outer deadline, so that a longer
-    // one of its own, or the same, can never be had. A cycle cannot pass.
+fn validate_nested_call(outer: &Route, nested: &Route) -> Option<String> {
+    // A nested call gets what is left of the outer deadline, so it can never
+    // have an equal or longer one. This also rules out call cycles.
     if nested.deadline >= outer.deadline {
         return Some(format!(
             "the deadline {} of the nested route `{}` cannot fit in the deadline {} of `{}`",
             nested.deadline, nested.name, outer.deadline, outer.name
         ));
     }
-    // A retry of the outer request would run the nested one again.
-    let risky = outer.idempotent == Some(true) && !nested.may_repeat();
-    risky.then(|| {
+    // Retrying the outer request would repeat the nested one.
+    let unsafe_retry = outer.idempotent == Some(true) && !nested.always_idempotent();
+    unsafe_retry.then(|| {
         format!(
             "the route `{}` says idempotent but calls `{}`, which is not",
             outer.name, nested.name
@@ -250,10 +256,10 @@
     })
 }
 
-/// The longest burst, in seconds of the rate.
-const BURST_LIMIT: Span = Span::from_secs(3600);
+/// The largest burst, as the time in which the rate allows that many requests.
+const MAX_BURST_TIME: Span = Span::from_secs(3600);
 
-/// Checks teams and keys and adds every fault.
+/// Validates teams and keys and adds all errors.
 pub fn teams(teams: &Teams, faults: &mut Vec<Error>) {
     let mut fault = |reason: String| faults.push(Error::new(Code::Cross, reason));
     let mut names = BTreeSet::new();
@@ -268,7 +274,7 @@
         if team.burst == 0 {
             fault(format!("the burst of the team `{name}` is zero"));
         }
-        if u64::from(team.burst) * 1000 > team.rate.millis_within(BURST_LIMIT).max(1000) {
+        if u64::from(team.burst) * 1000 > team.rate.millis_within(MAX_BURST_TIME).max(1000) {
             fault(format!(
                 "the burst {} of the team `{name}` is more than an hour of its rate {}",
                 team.burst, team.rate
--- a/src/version/tables.rs
+++ b/src/version/tables.rs
@@ -1,4 +1,4 @@
-//! The two tables that operators write: routes and pools.
+//! The route and pool tables that operators write.
 
 use serde::{
     Deserialize,
@@ -16,49 +16,50 @@
     },
 };
 
-/// One row of the table of routes: which requests go where.
+/// A row of the route table: which requests go to which pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// The row's name.
     pub name: id::Route,
-    /// The host to match; any when absent.
+    /// The host to match; any host if absent.
     #[serde(default)]
     pub host: Option<String>,
-    /// The method to match; any when absent.
+    /// The method to match; any method if absent.
     #[serde(default)]
     pub method: Option<String>,
-    /// The path to match: exact segments, `{name}` for any one segment, and
-    /// `*` as the last segment for all below. Empty when `prefix` is there.
+    /// The path pattern to match: literal segments, `{name}` for any single
+    /// segment, and `*` as the last segment for any remaining path. Empty if
+    /// `prefix` is set.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub path: String,
-    /// The beginning of the path to match, byte for byte; the longest wins.
+    /// The path prefix to match, byte for byte; the longest prefix wins.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefix: Option<String>,
-    /// The pool that serves it.
+    /// The pool that serves matching requests.
     pub pool: id::Pool,
-    /// Pools among which the requests are divided, in place of `pool`.
+    /// Weighted pools that requests are split among, instead of `pool`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<Part>,
-    /// Requests need no key: the route is for calls between the services.
+    /// Accepts requests without an API key, for calls between services.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub keyless: bool,
-    /// The time within which an answer is of full use to the caller.
+    /// The response time up to which a response is of full use to the caller.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<Span>,
-    /// How much the requests matter.
+    /// The priority class of the requests.
     #[serde(default)]
     pub importance: Importance,
-    /// Whether running a request twice does no harm; by method when absent.
+    /// Whether requests are idempotent; decided by method if absent.
     #[serde(default)]
     pub idempotent: Option<bool>,
-    /// Time for the whole request.
+    /// The time limit for the whole request.
     #[serde(default = "Route::default_deadline")]
     pub deadline: Span,
-    /// Retries for the whole chain below one root.
+    /// The retry limit for the whole call chain below one root request.
     #[serde(default = "Route::default_retries")]
     pub retries: u8,
-    /// The largest body.
+    /// The largest accepted body.
     #[serde(default = "Route::default_body")]
     pub body: Size,
 }
@@ -76,14 +77,14 @@
         Size::kib(1024)
     }
 
-    /// Whether every request of this route may run twice.
-    pub(super) fn may_repeat(&self) -> bool {
+    /// Returns whether every request of this route is idempotent.
+    pub(super) fn always_idempotent(&self) -> bool {
         let method = self.method.as_deref();
         self.idempotent
             .unwrap_or_else(|| method.is_some_and(|method| self.is_idempotent(method)))
     }
 
-    /// Whether a request by this method may run twice.
+    /// Returns whether a request with this method is idempotent.
     pub fn is_idempotent(&self, method: &str) -> bool {
         let by_method = matches!(
             method,
@@ -93,64 +94,66 @@
     }
 }
 
-/// A pool's part of a divided route.
+/// A pool's share of a route with a traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
     /// The pool.
     pub pool: id::Pool,
-    /// Its share, relative to the other parts.
+    /// The pool's share, relative to the other weights.
     pub weight: u32,
 }
 
 impl Route {
-    /// The pool for one request: `chance`, from zero to below one, picks among
-    /// the parts by their weights.
+    /// Selects the pool for one request from the split, by weight.
+    ///
+    /// `chance` is a random number in `[0, 1)`.
     pub fn select_pool(&self, chance: f64) -> &id::Pool {
         let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
-        let mut left = (chance * total as f64) as u64;
+        let mut remaining = (chance * total as f64) as u64;
         for part in &self.split {
             let weight = u64::from(part.weight);
-            if left < weight {
+            if remaining < weight {
                 return &part.pool;
             }
-            left -= weight;
+            remaining -= weight;
         }
         &self.pool
     }
 }
 
-/// One row of the table of pools: a group of upstreams.
+/// A row of the pool table: a group of upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// The row's name.
     pub name: id::Pool,
-    /// Requests that one upstream runs at a time; learnt when absent.
+    /// Concurrent requests per upstream; estimated at run time if absent.
     #[serde(default)]
     pub slots: Option<u32>,
     /// Connections that one upstream accepts.
     #[serde(default)]
     pub connections: Option<u32>,
-    /// Requests that may wait at one inbound proxy.
+    /// The queue length limit at one inbound proxy.
     #[serde(default = "Pool::default_queue")]
     pub queue: u32,
-    /// Queue delay that the admission aims at.
+    /// The target queue delay of admission control.
     #[serde(default = "Pool::default_delay")]
     pub delay: Span,
-    /// Time that running requests get when an upstream leaves.
+    /// The time that running requests get to finish when an upstream leaves.
     #[serde(default = "Pool::default_drain")]
     pub drain: Span,
-    /// Path of the upstream's health endpoint; not probed when absent.
+    /// The path of the upstream's health endpoint; not probed if absent.
     #[serde(default)]
     pub health: Option<String>,
-    /// Time over which a new upstream's share grows.
+    /// The time over which a new upstream's traffic share ramps up.
     #[serde(default = "Pool::default_ramp")]
     pub ramp: Span,
-    /// Requests a second that a cold upstream takes; not limited when absent.
+    /// The request rate limit of a cold upstream; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<Rate>,
-    /// How long an upstream is cold after its start, unless it says so itself.
+    /// How long an upstream counts as cold after its start, unless it reports
+    /// this itself.
     #[serde(default = "Pool::default_warmup")]
     pub warmup: Span,
 }
@@ -180,29 +183,36 @@
 /// Both tables, checked against each other.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tables {
-    /// Rows in the operators' order; the most specific match wins.
+    /// Routes in the operators' order, which does not affect matching.
     pub routes: Vec<Route>,
-    /// Rows in the operators' order.
+    /// Pools in the operators' order.
     pub pools: Vec<Pool>,
 }
 
 impl Tables {
     /// Finds the route of a request; the most specific match wins.
     ///
-    /// Rows with a `prefix` go first, the longest of them first. Among the others
-    /// a row with a host goes before one without; then the path decides, part
-    /// by part from the left, an exact part before `{name}` before `/*`; then
-    /// a row with a method goes before one without. `check` refuses rows
-    /// between which this does not decide.
+    /// Routes with a matching `prefix` take precedence: among them, a route with
+    /// a host over one without, then the longest prefix, then a route with a
+    /// method over one without. Among the others, a route with a host takes
+    /// precedence over one without; then the paths are compared segment by
+    /// segment from the left, a literal segment before `{name}` before `*`;
+    /// then a route with a method takes precedence. `check` rejects routes that
+    /// these rules cannot tell apart.
     pub fn route(&self, host: &str, method: &str, path: &str) -> Option<&Route> {
-        let host = bare_host(host);
-        let of_host = |route: &&Route| {
-            let wanted = route.host.as_deref();
-            wanted.is_none_or(|wanted| wanted.eq_ignore_ascii_case(host))
+        let host = normalize_host(host);
+        let matches_host_and_method = |route: &&Route| {
+            let expected = route.host.as_deref();
+            expected.is_none_or(|expected| expected.eq_ignore_ascii_case(host))
                 && route.method.as_deref().is_none_or(|m| m == method)
         };
-        let begins = |route: &&Route| route.prefix.as_deref().is_some_and(|p| path.starts_with(p));
-        let by_prefix = self.routes.iter().filter(begins).filter(of_host);
+        let matches_prefix =
+            |route: &&Route| route.prefix.as_deref().is_some_and(|p| path.starts_with(p));
+        let by_prefix = self
+            .routes
+            .iter()
+            .filter(matches_prefix)
+            .filter(matches_host_and_method);
         let longest = by_prefix.max_by_key(|route| {
             let prefix = route.prefix.as_ref().map_or(0, String::len);
             (route.host.is_some(), prefix, route.method.is_some())
@@ -212,7 +222,9 @@
         }
         let path = pattern::segments(path)?;
         let candidates = self.routes.iter().filter(|route| {
-            route.prefix.is_none() && of_host(route) && pattern::matches(&route.path, &path)
+            route.prefix.is_none()
+                && matches_host_and_method(route)
+                && pattern::matches(&route.path, &path)
         });
         candidates.max_by(|a, b| {
             let hosts = a.host.is_some().cmp(&b.host.is_some());
@@ -233,8 +245,8 @@
     }
 }
 
-/// The host without its port and without the dot of a full domain name.
-fn bare_host(host: &str) -> &str {
+/// Strips the port and the trailing dot of a fully qualified domain name.
+fn normalize_host(host: &str) -> &str {
     let bare = match host.rsplit_once(':') {
         Some((bare, port)) if port.bytes().all(|b| b.is_ascii_digit()) => bare,
         _ => host,
