--- a/src/command/get.rs
+++ b/src/command/get.rs
@@ -29,8 +29,8 @@
 };
 use crate::{
     check::{
-        POOLS,
-        ROUTES, //
+        POOLS_FILE,
+        ROUTES_FILE, //
     },
     document::Document,
     error::{
@@ -78,9 +78,9 @@
     } else if let Some(dir) = dir {
         println!("version {} written to {}", document.version, dir.display());
     } else {
-        println!("// Version {}: {ROUTES}", document.version);
+        println!("// Version {}: {ROUTES_FILE}", document.version);
         println!("{}", document.routes.trim_end());
-        println!("// Version {}: {POOLS}", document.version);
+        println!("// Version {}: {POOLS_FILE}", document.version);
         println!("{}", document.pools.trim_end());
     }
     Ok(())
@@ -88,7 +88,10 @@
 
 fn write(document: &Document, dir: &Path, force: bool) -> Result<()> {
     fs::create_dir_all(dir).map_err(|e| Error::from(e).within(dir.display().to_string()))?;
-    let files = [(ROUTES, &document.routes), (POOLS, &document.pools)];
+    let files = [
+        (ROUTES_FILE, &document.routes),
+        (POOLS_FILE, &document.pools),
+    ];
     for (name, text) in files {
         let path = dir.join(name);
         if !force && path.exists() && place::read(&path)?.text != **text {
--- a/src/command/place.rs
+++ b/src/command/place.rs
@@ -11,8 +11,8 @@
 use super::Failure;
 use crate::{
     check::{
-        POOLS,
-        ROUTES, //
+        POOLS_FILE,
+        ROUTES_FILE, //
     },
     error::{
         Code,
@@ -78,8 +78,8 @@
     pub(super) fn read(paths: &[PathBuf]) -> Result<Self> {
         match paths {
             [dir] if dir.is_dir() => Ok(Self {
-                routes: read(&dir.join(ROUTES))?,
-                pools: read(&dir.join(POOLS))?,
+                routes: read(&dir.join(ROUTES_FILE))?,
+                pools: read(&dir.join(POOLS_FILE))?,
                 dir: Some(dir.clone()),
             }),
             [one, other] => {
@@ -119,8 +119,8 @@
     /// Gives faults the names by which the operator knows the files.
     pub(super) fn rename(&self, mut failure: Failure) -> Failure {
         let rename = |error: Error| match error.file() {
-            Some(ROUTES) => error.within(self.routes.name.clone()),
-            Some(POOLS) => error.within(self.pools.name.clone()),
+            Some(ROUTES_FILE) => error.within(self.routes.name.clone()),
+            Some(POOLS_FILE) => error.within(self.pools.name.clone()),
             _ => error,
         };
         failure.0 = failure.0.into_iter().map(rename).collect();
@@ -152,7 +152,7 @@
 
 fn usage() -> Error {
     let reason = format!(
-        "name a directory that holds {ROUTES} and {POOLS}, or two files, one of which has \
+        "name a directory that holds {ROUTES_FILE} and {POOLS_FILE}, or two files, one of which has \
          `routes` in its name"
     );
     Error::new(Code::Usage, reason)
--- a/src/process/node/rights/records.rs
+++ b/src/process/node/rights/records.rs
@@ -49,7 +49,7 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let (route, context, claim) = details;
-        let Some(route) = self.snapshot.tables.named(route) else {
+        let Some(route) = self.snapshot.tables.route_by_name(route) else {
             return true;
         };
         let name = Name {
--- a/src/version/check.rs
+++ b/src/version/check.rs
@@ -38,9 +38,9 @@
 };
 
 /// The file name reported for errors in the route table of a stored document.
-pub const ROUTES: &str = "routes.jsonc";
+pub const ROUTES_FILE: &str = "routes.jsonc";
 /// The file name reported for errors in the pool table of a stored document.
-pub const POOLS: &str = "pools.jsonc";
+pub const POOLS_FILE: &str = "pools.jsonc";
 
 /// The source texts of both tables and their file names.
 #[derive(Clone, Copy, Debug)]
@@ -59,9 +59,9 @@
     /// Returns the table texts of a stored document.
     pub fn of(document: &'a Document) -> Self {
         Self {
-            routes_file: ROUTES,
+            routes_file: ROUTES_FILE,
             routes: &document.routes,
-            pools_file: POOLS,
+            pools_file: POOLS_FILE,
             pools: &document.pools,
         }
     }
--- a/src/version/tables.rs
+++ b/src/version/tables.rs
@@ -234,12 +234,12 @@
         })
     }
 
-    /// Finds a route by its name.
-    pub fn named(&self, name: &id::Route) -> Option<&Route> {
+    /// Returns the route with the given name.
+    pub fn route_by_name(&self, name: &id::Route) -> Option<&Route> {
         self.routes.iter().find(|route| route.name == *name)
     }
 
-    /// Finds a pool by its name.
+    /// Returns the pool with the given name.
     pub fn pool(&self, name: &id::Pool) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
