--- a/src/process/member/wire.rs
+++ b/src/process/member/wire.rs
@@ -16,7 +16,7 @@
     packed, //
 };
 use crate::{
-    freshness::News,
+    freshness::ConfigStatus,
     id::{
         Domain,
         Incarnation,
@@ -40,7 +40,7 @@
     pub kind: Kind,
     /// The sender's view of the configuration's freshness.
     #[serde(rename = "n")]
-    pub news: News,
+    pub news: ConfigStatus,
     /// Piggybacked membership changes.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<Update>,
--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -128,7 +128,7 @@
 impl Core {
     pub(super) fn gossip_advance_clock(&mut self, now: Time) {
         if self.gossip.agent.observe_time(now, &mut self.members) {
-            self.gossip.freshness.woke(now);
+            self.gossip.freshness.resumed_after_pause(now);
             self.gossip.cached_standing = None;
         }
     }
@@ -388,9 +388,11 @@
         };
         let (instance, domain) = (peer.instance.clone(), peer.domain.clone());
         let version = self.gossip.adopter.version();
-        self.gossip.freshness.hear(now, &domain, &news, version);
+        self.gossip
+            .freshness
+            .record_status(now, &domain, &news, version);
         if answered {
-            self.gossip.freshness.proved();
+            self.gossip.freshness.answered_after_pause();
             self.gossip.cached_standing = None;
         }
         let newer_at = self.gossip.adopter.hear(now, &instance, news.version);
@@ -456,7 +458,7 @@
             let with_domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
             let message = member::Message {
                 kind: send.kind,
-                news: self.gossip.freshness.news(now, version, with_domains),
+                news: self.gossip.freshness.status(now, version, with_domains),
                 updates: send.updates,
             };
             out.push(Action::Datagram(send.to, Message::Member(message)));
--- a/src/standin/crowd.rs
+++ b/src/standin/crowd.rs
@@ -37,7 +37,7 @@
     },
     document::Document,
     frame::Frame,
-    freshness::News,
+    freshness::ConfigStatus,
     id,
     member::{
         self,
@@ -395,7 +395,7 @@
         let domains = (0..self.size.domains).flat_map(|n| [0, n as u8, 5]);
         let with = matches!(kind, Kind::Ping { .. } | Kind::Ack { .. });
         let domains: Vec<u8> = domains.filter(|_| with).collect();
-        let news = News {
+        let news = ConfigStatus {
             version: id::Version(self.version),
             age: Some(20),
             domains: domains.into(),
--- a/src/version/freshness.rs
+++ b/src/version/freshness.rs
@@ -49,7 +49,7 @@
 
 /// What a message says of the sender's configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct ConfigStatus {
     /// The version in force there.
     #[serde(rename = "v")]
     pub version: Version,
@@ -97,20 +97,26 @@
 
     /// This node was paused until now. A key may have been withdrawn in the
     /// meantime, and its newest confirmation may still look fresh.
-    pub fn woke(&mut self, now: Time) {
+    pub fn resumed_after_pause(&mut self, now: Time) {
         self.distrust = now + DISTRUST;
         self.unproved = true;
     }
 
     /// A member answered a question that was asked after the pause, so what it
     /// said of its version is no older than that.
-    pub fn proved(&mut self) {
+    pub fn answered_after_pause(&mut self) {
         self.unproved = false;
     }
 
     /// Takes in what a member of this domain says, at a node where this
     /// version is in force.
-    pub fn hear(&mut self, now: Time, domain: &Domain, news: &News, version: Version) {
+    pub fn record_status(
+        &mut self,
+        now: Time,
+        domain: &Domain,
+        news: &ConfigStatus,
+        version: Version,
+    ) {
         if now < self.distrust {
             return;
         }
@@ -135,14 +141,14 @@
     }
 
     /// What to tell others; the domains only when they are asked for.
-    pub fn news(&self, now: Time, version: Version, domains: bool) -> News {
+    pub fn status(&self, now: Time, version: Version, domains: bool) -> ConfigStatus {
         let steps = |span: Span, step: Span| span.as_ms().div_ceil(step.as_ms());
         let mut bytes = Vec::new();
         for (domain, at) in self.heard.iter().filter(|_| domains) {
             bytes.extend(domain.to_be_bytes());
             bytes.push(steps(now.since(*at), DOMAIN_STEP).min(255) as u8);
         }
-        News {
+        ConfigStatus {
             version,
             age: self
                 .age(now)
