--- a/src/version/freshness.rs
+++ b/src/version/freshness.rs
@@ -1,16 +1,17 @@
-//! How old the newest confirmation is that the configuration in force is the
-//! store's latest, and what follows from its age.
+//! Tracks when the store last confirmed the configuration in force, and decides
+//! what a node may do once that confirmation is old.
 //!
-//! A watcher that hears from the store confirms; the confirmation spreads on
-//! every message of the membership protocol, with its age. Beside it spreads,
-//! for each failure domain, when the last word from it set out. So a node that
-//! has no fresh confirmation can tell two cases apart: if word from everywhere
-//! has reached it and nobody has one, the store is out for all, nothing was
-//! changed, and it goes on. If a domain or a third of the members is silent,
-//! a change may be in force there that it cannot hear of, and after
-//! [`LIMIT`] it refuses requests that come with a key.
+//! A watcher that gets an answer from the store records a confirmation, and
+//! every message of the membership protocol carries it on with its age. Pings
+//! and answers also carry, for each failure domain, the age of the last message
+//! known from it. With these a node without a fresh confirmation can tell two
+//! cases apart. If messages from every domain have reached it and none carries
+//! a fresh confirmation, the store is down for everyone, so nothing was changed
+//! and the node goes on serving. If a domain or more than a third of the members
+//! is silent, a change may be in force there that cannot reach this node, so
+//! after [`CONFIRMATION_MAX_AGE`] it refuses requests that come with a key.
 //!
-//! docs/design/freshness.md has the argument and the cost of both mistakes.
+//! docs/design/freshness.md gives the argument and the cost of either mistake.
 
 use std::collections::BTreeMap;
 
@@ -33,59 +34,61 @@
     member::Table,
 };
 
-/// The age from which a confirmation proves nothing any more.
-pub const LIMIT: Span = Span::from_secs(10);
-/// One step of an age on the wire.
-const STEP: Span = Span::from_ms(100);
-/// One step of a domain's age on the wire; 255 of them mean unknown.
-const DOMAIN_STEP: Span = Span::from_ms(200);
-/// How long a woken node believes no ages: what it reads may have waited
-/// through the pause in its socket.
-const DISTRUST: Span = Span::from_ms(500);
-/// Of so many members one silent one is too many.
-const SILENT: usize = 3;
-/// Bytes of a domain on the wire.
-const DOMAIN_BYTES: usize = 3;
-
-/// What a message says of the sender's configuration.
+/// The age beyond which a confirmation, or the last message from a domain, no
+/// longer counts as recent.
+pub const CONFIRMATION_MAX_AGE: Span = Span::from_secs(10);
+/// Resolution of a confirmation's age on the wire.
+const AGE_STEP: Span = Span::from_ms(100);
+/// Resolution of a domain's age on the wire; a value of 255 means unknown.
+const DOMAIN_AGE_STEP: Span = Span::from_ms(200);
+/// How long a node ignores received ages after a pause: the messages it reads
+/// may have waited in its socket during the pause, so their ages are too low.
+const IGNORE_AFTER_PAUSE: Span = Span::from_ms(500);
+/// A node counts as isolated when more than one in this many members is silent.
+const SILENT_DIVISOR: usize = 3;
+/// Bytes per domain on the wire: two of hash and one of age.
+const DOMAIN_ENTRY_BYTES: usize = 3;
+
+/// The part of a membership message that describes the sender's configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// The version in force there.
+    /// The version in force at the sender.
     #[serde(rename = "v")]
     pub version: Version,
-    /// Age of its newest confirmation, in tenths of a second.
+    /// Age of the sender's newest confirmation, in tenths of a second.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub age: Option<u16>,
-    /// Hash of a domain in two bytes and in one the age of the last word from
-    /// it, for each.
-    #[serde(rename = "d", default, skip_serializing_if = "empty")]
+    /// For each domain, two bytes of its name's hash and one byte for the age of
+    /// the last message from it.
+    #[serde(rename = "d", default, skip_serializing_if = "is_empty")]
     pub domains: ByteBuf,
 }
 
-/// What a node may conclude from what it has heard.
+/// What a node concludes about its configuration from the messages it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// The version in force was the store's latest a short time ago.
+    /// The store recently confirmed that the version in force is the latest.
     Fresh,
-    /// Nobody can reach the store, so nothing can have been changed.
+    /// No node can reach the store, so nothing can have been changed.
     Outage,
-    /// Others may know of a change that does not reach this node.
+    /// Other nodes may have a change that cannot reach this node.
     Isolated,
 }
 
-/// What a node has heard.
+/// The confirmations and domain ages that a node has received.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     confirmed: Option<Time>,
-    /// When the last word from a domain set out, by the hash of its name.
-    heard: BTreeMap<u16, Time>,
-    distrust: Time,
-    /// It was paused, and nobody has answered it since.
-    unproved: bool,
+    /// When the last message from a domain was sent, by the hash of its name.
+    last_sent: BTreeMap<u16, Time>,
+    /// Ages received before this time are ignored.
+    ignore_until: Time,
+    /// The node was paused and no member has answered it since.
+    awaiting_answer: bool,
 }
 
 impl Freshness {
-    /// The store confirmed the version in force at this time.
+    /// Records that the store confirmed the version in force at this time.
     pub fn confirm(&mut self, at: Time) {
         self.confirmed = self.confirmed.max(Some(at));
     }
@@ -95,74 +98,76 @@
         self.confirmed.map(|at| now.since(at))
     }
 
-    /// This node was paused until now. A key may have been withdrawn in the
-    /// meantime, and its newest confirmation may still look fresh.
+    /// Records that this node was paused until now. A key may have been revoked
+    /// during the pause while the newest confirmation still looks fresh.
     pub fn resumed_after_pause(&mut self, now: Time) {
-        self.distrust = now + DISTRUST;
-        self.unproved = true;
+        self.ignore_until = now + IGNORE_AFTER_PAUSE;
+        self.awaiting_answer = true;
     }
 
-    /// A member answered a question that was asked after the pause, so what it
-    /// said of its version is no older than that.
+    /// Records that a member answered a request sent after the pause, so the
+    /// version it reported is no older than the request.
     pub fn answered_after_pause(&mut self) {
-        self.unproved = false;
+        self.awaiting_answer = false;
     }
 
-    /// Takes in what a member of this domain says, at a node where this
-    /// version is in force.
+    /// Records the status received from a member of `domain`; `version` is the
+    /// one in force at this node.
     pub fn record_status(
         &mut self,
         now: Time,
         domain: &Domain,
-        news: &ConfigStatus,
+        status: &ConfigStatus,
         version: Version,
     ) {
-        if now < self.distrust {
+        if now < self.ignore_until {
             return;
         }
-        self.heard.insert(mark(domain), now);
-        for entry in news.domains.chunks_exact(DOMAIN_BYTES) {
-            let age = Span::from_ms(u64::from(entry[2]) * DOMAIN_STEP.as_ms());
+        self.last_sent.insert(domain_hash(domain), now);
+        for entry in status.domains.chunks_exact(DOMAIN_ENTRY_BYTES) {
+            let age = Span::from_ms(u64::from(entry[2]) * DOMAIN_AGE_STEP.as_ms());
             if entry[2] < u8::MAX {
-                let at = back(now, age);
-                let known = self.heard.entry(u16::from_be_bytes([entry[0], entry[1]]));
+                let at = time_before(now, age);
+                let known = self
+                    .last_sent
+                    .entry(u16::from_be_bytes([entry[0], entry[1]]));
                 let known = known.or_insert(at);
                 *known = (*known).max(at);
             }
         }
-        // A confirmation of a version that is not in force here says only that
-        // this node is behind.
-        if let Some(age) = news.age
-            && news.version <= version
+        // A confirmation of a newer version doesn't confirm the one in force
+        // here: it only shows that this node is behind.
+        if let Some(age) = status.age
+            && status.version <= version
         {
-            let age = Span::from_ms(u64::from(age) * STEP.as_ms());
-            self.confirm(back(now, age));
+            let age = Span::from_ms(u64::from(age) * AGE_STEP.as_ms());
+            self.confirm(time_before(now, age));
         }
     }
 
-    /// What to tell others; the domains only when they are asked for.
-    pub fn status(&self, now: Time, version: Version, domains: bool) -> ConfigStatus {
+    /// Returns the status to send to other members; the domains only if asked for.
+    pub fn status(&self, now: Time, version: Version, with_domains: bool) -> ConfigStatus {
         let steps = |span: Span, step: Span| span.as_ms().div_ceil(step.as_ms());
         let mut bytes = Vec::new();
-        for (domain, at) in self.heard.iter().filter(|_| domains) {
+        for (domain, at) in self.last_sent.iter().filter(|_| with_domains) {
             bytes.extend(domain.to_be_bytes());
-            bytes.push(steps(now.since(*at), DOMAIN_STEP).min(255) as u8);
+            bytes.push(steps(now.since(*at), DOMAIN_AGE_STEP).min(255) as u8);
         }
         ConfigStatus {
             version,
             age: self
                 .age(now)
-                .and_then(|age| u16::try_from(steps(age, STEP)).ok()),
+                .and_then(|age| u16::try_from(steps(age, AGE_STEP)).ok()),
             domains: ByteBuf::from(bytes),
         }
     }
 
-    /// Judges by the age of the confirmation and by who is silent.
+    /// Decides by the age of the confirmation and by which members are silent.
     pub fn standing(&self, now: Time, own: &Domain, table: &Table) -> Standing {
-        if self.unproved && table.len() > 1 {
+        if self.awaiting_answer && table.len() > 1 {
             return Standing::Isolated;
         }
-        if self.age(now).is_some_and(|age| age <= LIMIT) {
+        if self.age(now).is_some_and(|age| age <= CONFIRMATION_MAX_AGE) {
             return Standing::Fresh;
         }
         let mut silent = 0;
@@ -171,27 +176,27 @@
             let (lost, all) = table.count_silent(domain);
             silent += lost;
             expected += all;
-            let heard = self.heard.get(&mark(domain));
-            let recent = heard.is_some_and(|at| now.since(*at) <= LIMIT);
+            let sent_at = self.last_sent.get(&domain_hash(domain));
+            let recent = sent_at.is_some_and(|at| now.since(*at) <= CONFIRMATION_MAX_AGE);
             if all > 0 && domain != own && !recent {
                 return Standing::Isolated;
             }
         }
-        match silent * SILENT > expected {
+        match silent * SILENT_DIVISOR > expected {
             true => Standing::Isolated,
             false => Standing::Outage,
         }
     }
 }
 
-fn empty(bytes: &ByteBuf) -> bool {
+fn is_empty(bytes: &ByteBuf) -> bool {
     bytes.is_empty()
 }
 
-fn mark(domain: &Domain) -> u16 {
+fn domain_hash(domain: &Domain) -> u16 {
     xxh3_64(domain.as_str().as_bytes()) as u16
 }
 
-fn back(now: Time, age: Span) -> Time {
+fn time_before(now: Time, age: Span) -> Time {
     Time::from_ms(now.as_ms().saturating_sub(age.as_ms()))
 }
