--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -312,14 +312,16 @@
         match outcome {
             Outcome::Nothing => {}
             Outcome::Confirmed(at) => self.gossip.freshness.confirm(at),
-            Outcome::News(document, at) => {
+            Outcome::NewDocument(document, at) => {
                 // An older document does not confirm a newer one.
                 if document.version >= self.gossip.adopter.version() {
                     self.gossip.freshness.confirm(at);
                 }
                 self.offer_document(now, *document, out);
             }
-            Outcome::Broken(reason) => self.gossip.adopter.refuse(reason, &mut self.counts),
+            Outcome::InvalidDocument(reason) => {
+                self.gossip.adopter.refuse(reason, &mut self.counts)
+            }
         }
     }
 
@@ -340,13 +342,18 @@
         };
         self.adopt(snapshot);
         self.gossip.agent.schedule_gossip(self.members.len());
-        self.gossip.roster.adopted(now);
+        self.gossip.roster.restart_schedule(now);
         self.send_confirmations(now, out);
     }
 
     fn send_confirmations(&mut self, now: Time, out: &mut Vec<Action>) {
         let version = self.gossip.adopter.version();
-        if version == Version(0) || !self.gossip.roster.due(now, &self.gossip.watchers) {
+        if version == Version(0)
+            || !self
+                .gossip
+                .roster
+                .confirmation_due(now, &self.gossip.watchers)
+        {
             return;
         }
         let from = self.identity.peer.instance.clone();
@@ -431,7 +438,7 @@
                     .report(domain, version, age, &self.members);
                 self.send_adoption_message(now, from, adoption::Message::Report(report), out);
             }
-            adoption::Message::Report(report) => self.gossip.roster.reported(report),
+            adoption::Message::Report(report) => self.gossip.roster.record_report(report),
         }
     }
 
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -74,7 +74,7 @@
     /// Asks one watcher of each domain which version the members of the domain
     /// run. The replies are collected in [`Core::reports`].
     pub fn survey(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.gossip.roster.survey();
+        self.gossip.roster.start_survey();
         let domains: Vec<Domain> = self.members.domains().cloned().collect();
         for domain in domains {
             let Some(watcher) = self.domain_watchers(&domain).into_iter().next() else {
--- a/src/version/adoption/roster.rs
+++ b/src/version/adoption/roster.rs
@@ -75,16 +75,16 @@
     }
 
     /// A new version was adopted here: confirm it at once.
-    pub fn adopted(&mut self, now: Time) {
+    pub fn restart_schedule(&mut self, now: Time) {
         self.sent = 0;
         self.next = now;
     }
 
     /// Whether the own version is to be confirmed now, to these watchers.
-    pub fn due(&mut self, now: Time, watchers: &[Instance]) -> bool {
+    pub fn confirmation_due(&mut self, now: Time, watchers: &[Instance]) -> bool {
         if self.watchers != watchers {
             self.watchers = watchers.to_vec();
-            self.adopted(now);
+            self.restart_schedule(now);
         }
         if now < self.next {
             return false;
@@ -125,12 +125,12 @@
     }
 
     /// Begins to collect the domains' reports.
-    pub fn survey(&mut self) {
+    pub fn start_survey(&mut self) {
         self.reports.clear();
     }
 
     /// Takes one domain's report in.
-    pub fn reported(&mut self, report: Report) {
+    pub fn record_report(&mut self, report: Report) {
         self.reports.insert(report.domain.clone(), report);
     }
 
--- a/src/version/adoption/watch.rs
+++ b/src/version/adoption/watch.rs
@@ -38,9 +38,9 @@
     /// What is known was still the latest at this time.
     Confirmed(Time),
     /// A document, the latest at this time.
-    News(Box<Document>, Time),
+    NewDocument(Box<Document>, Time),
     /// The value is no document.
-    Broken(String),
+    InvalidDocument(String),
 }
 
 /// The watch of one node.
@@ -90,8 +90,8 @@
                 self.next = now;
                 self.revision = entry.revision;
                 match serde_json::from_str(&entry.value) {
-                    Ok(document) => Outcome::News(Box::new(document), asked),
-                    Err(error) => Outcome::Broken(error.to_string()),
+                    Ok(document) => Outcome::NewDocument(Box::new(document), asked),
+                    Err(error) => Outcome::InvalidDocument(error.to_string()),
                 }
             }
             _ => {
--- a/src/version/evacuation.rs
+++ b/src/version/evacuation.rs
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// When it is not evacuated.
-pub fn take_back(document: &mut Document, domain: &Domain) -> Result<()> {
+pub fn end_evacuation(document: &mut Document, domain: &Domain) -> Result<()> {
     if document.evacuated.remove(domain) {
         return Ok(());
     }
