--- a/src/version/adoption/roster.rs
+++ b/src/version/adoption/roster.rs
@@ -1,8 +1,9 @@
-//! Which members of a domain have confirmed which version.
+//! Tracks which members of a domain have confirmed which version.
 //!
-//! Every node confirms to the watchers of its domain. An operator's command
-//! asks one watcher of each domain, so it costs calls by domain and not by
-//! node. A confirmation may be lost: it is sent again, ever more seldom.
+//! Every node confirms its version to the watchers of its domain. An operator's
+//! command asks one watcher of each domain, so its cost grows with the number of
+//! domains and not of nodes. Because a confirmation may be lost, it is sent
+//! repeatedly, at growing intervals.
 
 use std::collections::BTreeMap;
 
@@ -27,74 +28,82 @@
     },
 };
 
-/// Names of members that are behind, in one report, at most.
-const NAMES: usize = 16;
-/// When a confirmation is sent again after an adoption.
-const AGAIN: [Span; 2] = [Span::from_ms(500), Span::from_secs(2)];
-/// Time between two confirmations when nothing changes.
-const STEADY: Span = Span::from_secs(15);
+/// Maximum number of members listed by name in a report.
+const MAX_LISTED_MEMBERS: usize = 16;
+/// Delays before the first repetitions of a confirmation after an adoption.
+const REPEAT_DELAYS: [Span; 2] = [Span::from_ms(500), Span::from_secs(2)];
+/// Interval between later confirmations while nothing changes.
+const STEADY_INTERVAL: Span = Span::from_secs(15);
 
-/// How far one domain has come.
+/// How many members of one domain have confirmed a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Which domain.
+    /// The domain that the report covers.
     #[serde(rename = "d")]
     pub domain: Domain,
-    /// The version in force at the watcher that reports.
+    /// The version in force at the reporting watcher.
     #[serde(rename = "v")]
     pub version: Version,
-    /// Age of its newest confirmation by the store.
+    /// Age of that watcher's newest confirmation by the store.
     #[serde(rename = "a")]
     pub age: Option<Span>,
-    /// Members of the domain that are there.
+    /// Number of members of the domain that are alive or suspected.
     #[serde(rename = "m")]
     pub members: usize,
-    /// Those that have not confirmed this version.
+    /// Number of those that have not confirmed this version.
     #[serde(rename = "n")]
     pub behind: usize,
-    /// Some of them by name.
+    /// Names of the members that are behind, up to `MAX_LISTED_MEMBERS`.
     #[serde(rename = "b")]
     pub names: Vec<Instance>,
 }
 
-/// The confirmations of one domain, and the schedule of one's own.
+/// The confirmations received from the members of a domain, the reports received
+/// on all domains, and the schedule of this node's own confirmations.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     confirmed: BTreeMap<Instance, Version>,
     reports: BTreeMap<Domain, Report>,
     watchers: Vec<Instance>,
-    sent: usize,
-    next: Time,
+    sent_count: usize,
+    next_at: Time,
 }
 
 impl Roster {
-    /// Takes a confirmation in; they may overtake each other.
+    /// Records a confirmation. Confirmations may arrive out of order, so the highest
+    /// version is kept.
     pub fn confirm(&mut self, from: Instance, version: Version) {
         let known = self.confirmed.entry(from).or_default();
         *known = (*known).max(version);
     }
 
-    /// A new version was adopted here: confirm it at once.
+    /// Restarts the schedule, so that the next confirmation is due at once. Called
+    /// when this node adopts a version.
     pub fn restart_schedule(&mut self, now: Time) {
-        self.sent = 0;
-        self.next = now;
+        self.sent_count = 0;
+        self.next_at = now;
     }
 
-    /// Whether the own version is to be confirmed now, to these watchers.
+    /// Returns whether this node must now confirm its version to these watchers. A
+    /// change of watchers restarts the schedule.
     pub fn confirmation_due(&mut self, now: Time, watchers: &[Instance]) -> bool {
         if self.watchers != watchers {
             self.watchers = watchers.to_vec();
             self.restart_schedule(now);
         }
-        if now < self.next {
+        if now < self.next_at {
             return false;
         }
-        self.next = now + AGAIN.get(self.sent).copied().unwrap_or(STEADY);
-        self.sent += 1;
+        self.next_at = now
+            + REPEAT_DELAYS
+                .get(self.sent_count)
+                .copied()
+                .unwrap_or(STEADY_INTERVAL);
+        self.sent_count += 1;
         true
     }
 
-    /// How far a domain has come, as this node has heard.
+    /// Builds the report for a domain from the confirmations received here.
     pub fn report(
         &mut self,
         domain: &Domain,
@@ -103,16 +112,16 @@
         table: &Table,
     ) -> Report {
         self.confirmed.retain(|name, _| table.get(name).is_some());
-        let there = |status| matches!(status, Status::Alive | Status::Suspect);
+        let is_present = |status| matches!(status, Status::Alive | Status::Suspect);
         let members: Vec<_> = table
             .in_domain(domain)
-            .filter(|p| there(p.status))
+            .filter(|p| is_present(p.status))
             .collect();
-        let has = |name| self.confirmed.get(name).is_some_and(|v| *v >= version);
+        let has_confirmed = |name| self.confirmed.get(name).is_some_and(|v| *v >= version);
         let behind: Vec<_> = members
             .iter()
             .map(|peer| &peer.instance)
-            .filter(|name| !has(name))
+            .filter(|name| !has_confirmed(name))
             .collect();
         Report {
             domain: domain.clone(),
@@ -120,21 +129,25 @@
             age,
             members: members.len(),
             behind: behind.len(),
-            names: behind.into_iter().take(NAMES).cloned().collect(),
+            names: behind
+                .into_iter()
+                .take(MAX_LISTED_MEMBERS)
+                .cloned()
+                .collect(),
         }
     }
 
-    /// Begins to collect the domains' reports.
+    /// Starts a new survey by discarding the reports received so far.
     pub fn start_survey(&mut self) {
         self.reports.clear();
     }
 
-    /// Takes one domain's report in.
+    /// Records one domain's report.
     pub fn record_report(&mut self, report: Report) {
         self.reports.insert(report.domain.clone(), report);
     }
 
-    /// The reports that came since the survey began.
+    /// Returns the reports received since the survey started.
     pub fn reports(&self) -> impl Iterator<Item = &Report> {
         self.reports.values()
     }
--- a/src/version/adoption/watch.rs
+++ b/src/version/adoption/watch.rs
@@ -1,8 +1,8 @@
-//! A watcher's calls to the store.
+//! Schedules a watcher's calls to the store.
 //!
-//! A watch that waits is one call, and its quiet end is a confirmation: at
-//! that time nothing newer had been accepted. So its length is both the cost
-//! in calls and the age of confirmations.
+//! A watch call waits in the store for a change. If it ends without one, that
+//! confirms the known version: nothing newer had been accepted by then. The
+//! wait therefore sets both the number of calls and the age of confirmations.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -23,74 +23,78 @@
 };
 
 /// How long one watch waits in the store.
-const WAIT: Span = Span::from_secs(4);
-/// A call without any answer after this counts as lost.
-const HUNG: Span = Span::from_secs(15);
-/// The first and the longest wait after a lost call.
-const BACKOFF: Span = Span::from_ms(250);
+const WATCH_WAIT: Span = Span::from_secs(4);
+/// A call that has no answer after this time counts as failed.
+const CALL_TIMEOUT: Span = Span::from_secs(15);
+/// The base and the upper limit of the delay after a failed call.
+const BACKOFF_BASE: Span = Span::from_ms(250);
 const BACKOFF_LIMIT: Span = Span::from_secs(8);
 
-/// What an answer says.
+/// The result of a watch call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// Nothing of use.
+    /// The call failed, or its answer came too late to count.
     Nothing,
-    /// What is known was still the latest at this time.
+    /// The known version was still the latest at this time.
     Confirmed(Time),
-    /// A document, the latest at this time.
+    /// A new document, the latest at this time.
     NewDocument(Box<Document>, Time),
-    /// The value is no document.
+    /// The stored value is not a valid document; holds the parser's error.
     InvalidDocument(String),
 }
 
-/// The watch of one node.
+/// The state of one node's watch on the store.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     revision: Revision,
-    /// When the call under way was made, and its number among them.
-    asked: Option<Time>,
-    next: Time,
-    lost: u32,
+    /// When the pending call was made, if there is one.
+    sent_at: Option<Time>,
+    next_at: Time,
+    failures: u32,
 }
 
 impl Watch {
-    /// The call that is due, while this node is a watcher.
+    /// Returns the call that is due, if any. To be polled only while this node is a
+    /// watcher.
     pub fn tick(&mut self, now: Time, rng: &mut ChaCha8Rng) -> Option<Call> {
-        if self.asked.is_some_and(|asked| now.since(asked) >= HUNG) {
+        if self
+            .sent_at
+            .is_some_and(|sent_at| now.since(sent_at) >= CALL_TIMEOUT)
+        {
             self.back_off(now, rng);
         }
-        if self.asked.is_some() || now < self.next {
+        if self.sent_at.is_some() || now < self.next_at {
             return None;
         }
-        self.asked = Some(now);
+        self.sent_at = Some(now);
         Some(Call::Watch {
             key: KEY.to_owned(),
             after: self.revision,
-            wait: WAIT,
+            wait: WATCH_WAIT,
         })
     }
 
-    /// Takes the answer in.
+    /// Processes the answer to the pending call.
     pub fn answer(&mut self, now: Time, answer: Answer, rng: &mut ChaCha8Rng) -> Outcome {
-        let Some(asked) = self.asked.take() else {
+        let Some(sent_at) = self.sent_at.take() else {
             return Outcome::Nothing;
         };
         match answer {
             Answer::Quiet => {
-                self.lost = 0;
-                // Not the time at which the answer is read: this node may have
-                // been paused between. The store waited its time out, so the
-                // answer is at least that much younger than the question.
-                let at = now.min(asked + WAIT);
-                self.next = now + Span::from_ms(rng.random_range(0..50));
+                self.failures = 0;
+                // Not simply `now`, because this node may have been paused before
+                // it read the answer. The store waited for the whole of
+                // `WATCH_WAIT`, so the answer holds at least until then.
+                let at = now.min(sent_at + WATCH_WAIT);
+                self.next_at = now + Span::from_ms(rng.random_range(0..50));
                 Outcome::Confirmed(at)
             }
             Answer::Value(Some(entry)) => {
-                self.lost = 0;
-                self.next = now;
+                self.failures = 0;
+                self.next_at = now;
                 self.revision = entry.revision;
                 match serde_json::from_str(&entry.value) {
-                    Ok(document) => Outcome::NewDocument(Box::new(document), asked),
+                    Ok(document) => Outcome::NewDocument(Box::new(document), sent_at),
                     Err(error) => Outcome::InvalidDocument(error.to_string()),
                 }
             }
@@ -102,8 +106,9 @@
     }
 
     fn back_off(&mut self, now: Time, rng: &mut ChaCha8Rng) {
-        self.asked = None;
-        self.next = now + member::backoff_with_jitter(self.lost, BACKOFF, BACKOFF_LIMIT, rng);
-        self.lost += 1;
+        self.sent_at = None;
+        self.next_at =
+            now + member::backoff_with_jitter(self.failures, BACKOFF_BASE, BACKOFF_LIMIT, rng);
+        self.failures += 1;
     }
 }
--- a/src/version/evacuation.rs
+++ b/src/version/evacuation.rs
@@ -1,7 +1,8 @@
-//! Orders of operators to send nothing more to the upstreams of a failure domain.
+//! Lets operators stop all traffic to the upstreams of a failure domain.
 //!
-//! An order is part of the document, so it is accepted, spread and confirmed like
-//! any other change. Its nodes go on as ingress; only their upstreams get nothing.
+//! An evacuation is part of the document, so it is accepted, distributed and
+//! confirmed like any other change. The domain's nodes keep accepting requests
+//! from clients; only their upstreams receive none.
 
 use std::collections::BTreeSet;
 
@@ -15,21 +16,22 @@
     id::Domain, //
 };
 
-/// Evacuates a domain, one of those that nodes know.
+/// Evacuates `domain`, which must be one of the `known` domains.
 ///
 /// # Errors
 ///
-/// When no node knows the domain, or when no other would be left.
+/// Returns an error if the domain is unknown, or if every known domain would
+/// then be evacuated.
 pub fn evacuate(document: &mut Document, domain: &Domain, known: &BTreeSet<Domain>) -> Result<()> {
     if !known.contains(domain) {
         let reason = format!(
             "there is no failure domain `{domain}`; the nodes are in {}",
-            list(known)
+            quoted_list(known)
         );
         return Err(Error::new(Code::Absent, reason));
     }
-    let is_left = |other: &&Domain| *other != domain && !document.evacuated.contains(*other);
-    if known.iter().find(is_left).is_none() {
+    let remains_active = |other: &&Domain| *other != domain && !document.evacuated.contains(*other);
+    if known.iter().find(remains_active).is_none() {
         let reason = format!("`{domain}` is the last failure domain that gets requests");
         return Err(Error::new(Code::Usage, reason));
     }
@@ -37,11 +39,11 @@
     Ok(())
 }
 
-/// Takes a domain back that was evacuated.
+/// Ends the evacuation of a domain.
 ///
 /// # Errors
 ///
-/// When it is not evacuated.
+/// Returns an error if the domain is not evacuated.
 pub fn end_evacuation(document: &mut Document, domain: &Domain) -> Result<()> {
     if document.evacuated.remove(domain) {
         return Ok(());
@@ -50,7 +52,7 @@
     Err(Error::new(Code::Absent, reason))
 }
 
-fn list(domains: &BTreeSet<Domain>) -> String {
+fn quoted_list(domains: &BTreeSet<Domain>) -> String {
     let names: Vec<_> = domains.iter().map(|name| format!("`{name}`")).collect();
     names.join(", ")
 }
--- a/src/version/mod.rs
+++ b/src/version/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as one version of the configuration.
+//! The versioned configuration: its document, how it is edited and checked, and
+//! how nodes adopt it and know that it is current.
 
 pub mod adoption;
 pub mod change;
