--- a/src/process/node/listed.rs
+++ b/src/process/node/listed.rs
@@ -31,7 +31,7 @@
     },
     follow::{
         Follower,
-        News, //
+        Update, //
     },
     id::{
         Instance,
@@ -253,7 +253,10 @@
         let Some(discovery) = &self.discovery else {
             return Time::NEVER;
         };
-        let calls = discovery.directory.due().min(discovery.follower.due());
+        let calls = discovery
+            .directory
+            .due()
+            .min(discovery.follower.next_call_at());
         let calls = calls.min(discovery.subscriber.due());
         let next_dial = discovery.unreachable.values().map(|peer| peer.next).min();
         calls
@@ -379,11 +382,11 @@
         self.discovery_tick(now, out);
     }
 
-    fn handle_config_update(&mut self, now: Time, news: News, out: &mut Vec<Action>) {
+    fn handle_config_update(&mut self, now: Time, news: Update, out: &mut Vec<Action>) {
         match news {
-            News::Nothing => {}
-            News::Newer(snapshot) => self.adopt_discovered_config(now, snapshot, out),
-            News::Unusable(error) => {
+            Update::Nothing => {}
+            Update::Newer(snapshot) => self.adopt_discovered_config(now, snapshot, out),
+            Update::Unusable(error) => {
                 self.counts.add(Counter::Invalid);
                 let reason = error.reason().to_owned();
                 out.push(Action::Log(LogEvent::ConfigUnusable(reason)));
--- a/src/process/node/listed/inquiry.rs
+++ b/src/process/node/listed/inquiry.rs
@@ -59,7 +59,7 @@
                 let after = after.filter(|_| discovery.watcher.has_topic(topic));
                 let call = match topic {
                     Topic::Members => directory::watch_call(after),
-                    Topic::Configuration => discovery.follower.question(after),
+                    Topic::Configuration => discovery.follower.changes_call(after),
                 };
                 let number = self.call_store(StoreCaller::Discovery, call, out);
                 let sent = now;
@@ -114,9 +114,10 @@
                 self.apply_member_changes(now, changes, out);
             }
             Topic::Configuration => {
-                let news = discovery
-                    .follower
-                    .told(now, update.confirmed_at, update.answer);
+                let news =
+                    discovery
+                        .follower
+                        .relayed_answer(now, update.confirmed_at, update.answer);
                 self.handle_config_update(now, news, out);
             }
         }
--- a/src/version/follow.rs
+++ b/src/version/follow.rs
@@ -49,7 +49,7 @@
 
 /// What an answer brought.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// Nothing to act on.
     Nothing,
     /// A newer version, or the same one with other evacuations.
@@ -100,7 +100,7 @@
     }
 
     /// When it has something to ask.
-    pub fn due(&self) -> Time {
+    pub fn next_call_at(&self) -> Time {
         match self.asked {
             Some(_) => Time::NEVER,
             None => self.next,
@@ -113,17 +113,17 @@
             return None;
         }
         self.asked = Some(now);
-        Some(self.question(self.after))
+        Some(self.changes_call(self.after))
     }
 
     /// The question to the store for what has changed since a revision.
-    pub fn question(&self, after: Option<Revision>) -> Call {
+    pub fn changes_call(&self, after: Option<Revision>) -> Call {
         Call::changes(self.source.prefix, after, WAIT)
     }
 
     /// Takes what another node says that the store would have answered, and when
     /// that was certainly so.
-    pub fn told(&mut self, now: Time, confirmed: Time, answer: Answer) -> News {
+    pub fn relayed_answer(&mut self, now: Time, confirmed: Time, answer: Answer) -> Update {
         if self.asked.is_some() {
             self.asked = Some(confirmed);
         }
@@ -131,9 +131,9 @@
     }
 
     /// Takes the answer to its question.
-    pub fn answer(&mut self, now: Time, answer: Answer) -> News {
+    pub fn answer(&mut self, now: Time, answer: Answer) -> Update {
         let Some(asked) = self.asked.take() else {
-            return News::Nothing;
+            return Update::Nothing;
         };
         let (entry, at) = match answer {
             Answer::Listing { entries, at } => {
@@ -151,20 +151,20 @@
             Answer::Forgotten => {
                 self.after = None;
                 self.next = now;
-                return News::Nothing;
+                return Update::Nothing;
             }
             _ => {
                 self.after = None;
                 self.next = now + self.pause;
                 self.pause = Span::from_ms(self.pause.as_ms() * 2).min(LONGEST_PAUSE);
-                return News::Nothing;
+                return Update::Nothing;
             }
         };
         self.pause = FIRST_PAUSE;
         self.next = now;
         if self.snapshot.version == Version(0) && entry.is_none() {
             self.next = now + ABSENT_PAUSE;
-            return News::Nothing;
+            return Update::Nothing;
         }
         self.after = Some(at);
         match entry {
@@ -219,25 +219,25 @@
     }
 
     /// What is in force now, if it differs from what was.
-    fn news(&mut self, newer: bool) -> News {
+    fn news(&mut self, newer: bool) -> Update {
         let is_new = newer || self.snapshot.evacuations != self.evacuations;
         if !is_new || self.snapshot.version == Version(0) {
-            return News::Nothing;
+            return Update::Nothing;
         }
         let snapshot = Rc::make_mut(&mut self.snapshot);
         snapshot.evacuations = self.evacuations.clone();
-        News::Newer(self.snapshot.clone())
+        Update::Newer(self.snapshot.clone())
     }
 
-    fn offer(&mut self, asked: Time, value: &str) -> News {
+    fn offer(&mut self, asked: Time, value: &str) -> Update {
         match (self.source.read)(value) {
-            Err(error) => News::Unusable(error),
+            Err(error) => Update::Unusable(error),
             Ok(snapshot) if snapshot.version < self.snapshot.version => {
                 let reason = format!(
                     "version {} is older than version {} in force",
                     snapshot.version, self.snapshot.version
                 );
-                News::Unusable(Error::new(crate::error::Code::StoreData, reason))
+                Update::Unusable(Error::new(crate::error::Code::StoreData, reason))
             }
             Ok(snapshot) => {
                 let newer = snapshot.version > self.snapshot.version;
--- a/tests/fleet/follow.rs
+++ b/tests/fleet/follow.rs
@@ -9,7 +9,7 @@
     document::Snapshot,
     follow::{
         Follower,
-        News, //
+        Update, //
     },
     id::{
         Revision,
@@ -85,8 +85,8 @@
     }
 
     /// Asks, waits, and takes an answer.
-    fn ask(&mut self, wait: u64, answer: Answer) -> News {
-        let due = self.follower.due().max(self.now);
+    fn ask(&mut self, wait: u64, answer: Answer) -> Update {
+        let due = self.follower.next_call_at().max(self.now);
         self.now = due;
         self.follower.tick(self.now).expect("a question");
         self.now += Span::from_ms(wait);
@@ -101,14 +101,14 @@
 #[test]
 fn a_newer_version_is_news_and_an_older_one_is_not() {
     let mut story = Story::new();
-    assert!(matches!(story.ask(5, listing("4", 10)), News::Newer(s) if s.version == Version(4)));
-    assert!(matches!(story.ask(5, change("9", 11)), News::Newer(s) if s.version == Version(9)));
-    assert!(matches!(story.ask(5, change("7", 12)), News::Unusable(_)));
+    assert!(matches!(story.ask(5, listing("4", 10)), Update::Newer(s) if s.version == Version(4)));
+    assert!(matches!(story.ask(5, change("9", 11)), Update::Newer(s) if s.version == Version(9)));
+    assert!(matches!(story.ask(5, change("7", 12)), Update::Unusable(_)));
     assert!(matches!(
         story.ask(5, change("no number", 13)),
-        News::Unusable(_)
+        Update::Unusable(_)
     ));
-    assert!(matches!(story.ask(5, change("9", 14)), News::Nothing));
+    assert!(matches!(story.ask(5, change("9", 14)), Update::Nothing));
 }
 
 /// The answer that confirms a version may have been long under way. What it says
@@ -149,15 +149,15 @@
         let mut story = Story::new();
         story.ask(0, listing("4", 10));
         story.ask(5, gap);
-        story.now = story.follower.due().max(story.now);
+        story.now = story.follower.next_call_at().max(story.now);
         let call = story.follower.tick(story.now);
         assert!(matches!(call, Some(Call::Read { .. })), "{call:?}");
     }
 }
 
 /// Names of evacuated domains, as the news has them.
-fn evacuated(news: &News) -> Vec<String> {
-    let News::Newer(snapshot) = news else {
+fn evacuated(news: &Update) -> Vec<String> {
+    let Update::Newer(snapshot) = news else {
         panic!("no news: {news:?}");
     };
     snapshot.evacuated().map(ToString::to_string).collect()
@@ -202,7 +202,7 @@
     assert_eq!(evacuated(&news), ["north"]);
     assert!(matches!(
         story.ask(5, orders(&[("north", true)], 11)),
-        News::Nothing
+        Update::Nothing
     ));
     assert_eq!(evacuated(&story.ask(5, change("5", 12))), ["north"]);
     story.ask(5, Answer::Lost);
@@ -220,7 +220,7 @@
         entries: vec![entry("4", 10)],
         at: Revision(15),
     };
-    assert!(matches!(story.ask(5, older), News::Nothing));
+    assert!(matches!(story.ask(5, older), Update::Nothing));
     let newer = Answer::Listing {
         entries: vec![entry("4", 10)],
         at: Revision(21),
@@ -236,7 +236,7 @@
     story.ask(5, listing("4", 10));
     let news = story.ask(5, orders(&[("north", true), ("north", false)], 12));
     assert_eq!(evacuated(&news), Vec::<String>::new());
-    let News::Newer(snapshot) = news else {
+    let Update::Newer(snapshot) = news else {
         panic!("no news");
     };
     let north = "north".parse().expect("a name");
