--- a/src/version/follow.rs
+++ b/src/version/follow.rs
@@ -1,11 +1,11 @@
-//! Follows one value of the store: its newest version, and how sure that is.
+//! Follows one value of the store: its newest version, and how recently that
+//! version was confirmed.
 //!
 //! The [`Follower`] reads the value once and then waits for changes. It adopts
-//! only higher versions, so that it never goes back, and keeps the last good
-//! one when a newer one cannot be read. Its [`age`](Follower::age) is counted
-//! from when the question was *sent* whose answer confirmed the version: an
-//! answer may have been long on its way, and what it says holds at its sending
-//! at the latest.
+//! only higher versions, so that it never goes back, and keeps the last valid
+//! one when a newer one cannot be read. Its [`age`](Follower::age) counts from
+//! when the call was *sent* whose answer confirmed the version: the answer may
+//! have been delayed, and nothing in it is certain for any later time.
 
 use std::{
     collections::BTreeMap,
@@ -36,103 +36,104 @@
     },
 };
 
-/// How long a question waits for changes. Two of them bound the age in quiet
-/// times, which has to stay well below the bound on withdrawn keys.
-const WAIT: Span = Span::from_ms(900);
-/// The time between two questions while the store does not answer: at first,
-/// and at most. Every call is counted, refused ones too; an outage that ends is
-/// noticed this late.
-const FIRST_PAUSE: Span = Span::from_ms(50);
-const LONGEST_PAUSE: Span = Span::from_ms(800);
-/// The time between two looks for a value that is not there yet.
-const ABSENT_PAUSE: Span = Span::from_ms(400);
+/// How long a call waits in the store for changes. While nothing changes, the
+/// age is at most two such waits, and it has to stay well below the time within
+/// which a revoked key must stop working.
+const WATCH_WAIT: Span = Span::from_ms(900);
+/// The first and the longest delay between two calls while the store does not
+/// answer. Longer delays save calls, which are all counted, refused ones too;
+/// shorter ones detect the end of an outage sooner.
+const MIN_RETRY_DELAY: Span = Span::from_ms(50);
+const MAX_RETRY_DELAY: Span = Span::from_ms(800);
+/// The delay between two reads while the value does not exist yet.
+const ABSENT_VALUE_DELAY: Span = Span::from_ms(400);
 
-/// What an answer brought.
+/// The effect of an answer on the configuration in force.
 #[derive(Debug)]
 pub enum Update {
     /// Nothing to act on.
     Nothing,
     /// A newer version, or the same one with other evacuations.
     Newer(Shared),
-    /// A value that cannot be read, or goes back; the last good one stays.
+    /// A value that cannot be read or has an older version; the last valid one stays.
     Unusable(Error),
 }
 
-/// Follows a configuration.
+/// Follows a configuration in the store.
 #[derive(Debug)]
 pub struct Follower {
     source: Source,
-    /// What is in force.
+    /// The configuration in force.
     snapshot: Shared,
-    /// The last order on each failure domain.
+    /// The latest evacuation state of each failure domain.
     evacuations: BTreeMap<Domain, Evacuation>,
-    /// Where the next question goes on; a fresh look when absent.
+    /// The revision after which the next call asks for changes; `None` reads all.
     after: Option<Revision>,
-    /// When the open question was sent.
-    asked: Option<Time>,
-    next: Time,
-    pause: Span,
+    /// When the pending call was sent.
+    sent_at: Option<Time>,
+    next_at: Time,
+    retry_delay: Span,
     confirmed: Option<Time>,
-    /// The revision that was looked at last, so that a bad one is told once.
-    seen: Revision,
+    /// The last revision that was read, so that a bad one is reported only once.
+    last_read: Revision,
 }
 
 impl Follower {
-    /// A follower that knows nothing.
+    /// Creates a follower that has read nothing yet.
     pub fn new(source: Source) -> Self {
         Self {
             source,
             snapshot: Shared::default(),
             evacuations: BTreeMap::new(),
             after: None,
-            asked: None,
-            next: Time::ZERO,
-            pause: FIRST_PAUSE,
+            sent_at: None,
+            next_at: Time::ZERO,
+            retry_delay: MIN_RETRY_DELAY,
             confirmed: None,
-            seen: Revision::default(),
+            last_read: Revision::default(),
         }
     }
 
-    /// The time since the version in force was certainly the newest; nothing
-    /// while that was never so.
+    /// Returns the time since the version in force was last known to be the
+    /// newest, or `None` if it never was.
     pub fn age(&self, now: Time) -> Option<Span> {
         self.confirmed.map(|at| now.since(at))
     }
 
-    /// When it has something to ask.
+    /// Returns when the next call is due.
     pub fn next_call_at(&self) -> Time {
-        match self.asked {
+        match self.sent_at {
             Some(_) => Time::NEVER,
-            None => self.next,
+            None => self.next_at,
         }
     }
 
-    /// Asks, if it is time.
+    /// Returns the next call if it is due.
     pub fn tick(&mut self, now: Time) -> Option<Call> {
-        if self.asked.is_some() || now < self.next {
+        if self.sent_at.is_some() || now < self.next_at {
             return None;
         }
-        self.asked = Some(now);
+        self.sent_at = Some(now);
         Some(self.changes_call(self.after))
     }
 
-    /// The question to the store for what has changed since a revision.
+    /// Builds the call that asks the store what has changed since a revision.
     pub fn changes_call(&self, after: Option<Revision>) -> Call {
-        Call::changes(self.source.prefix, after, WAIT)
+        Call::changes(self.source.prefix, after, WATCH_WAIT)
     }
 
-    /// Takes what another node says that the store would have answered, and when
-    /// that was certainly so.
+    /// Processes an answer of the store as relayed by another node; `confirmed` is
+    /// the time at which that node knew it to be current.
     pub fn relayed_answer(&mut self, now: Time, confirmed: Time, answer: Answer) -> Update {
-        if self.asked.is_some() {
-            self.asked = Some(confirmed);
+        if self.sent_at.is_some() {
+            self.sent_at = Some(confirmed);
         }
         self.answer(now, answer)
     }
 
-    /// Takes the answer to its question.
+    /// Processes the answer to the pending call.
     pub fn answer(&mut self, now: Time, answer: Answer) -> Update {
-        let Some(asked) = self.asked.take() else {
+        let Some(sent_at) = self.sent_at.take() else {
             return Update::Nothing;
         };
         let (entry, at) = match answer {
@@ -146,57 +147,58 @@
                 let ours = changes.into_iter().filter(|c| c.key == self.source.key);
                 (ours.filter_map(|change| change.entry).next_back(), at)
             }
-            // The history is gone, or the store is: look afresh. A lost answer
-            // may hide a change, so the place to go on from is not kept.
+            // The store has dropped its history, or the call failed: read
+            // everything again. A lost answer may have contained a change, so
+            // the revision to continue from is not kept.
             Answer::Forgotten => {
                 self.after = None;
-                self.next = now;
+                self.next_at = now;
                 return Update::Nothing;
             }
             _ => {
                 self.after = None;
-                self.next = now + self.pause;
-                self.pause = Span::from_ms(self.pause.as_ms() * 2).min(LONGEST_PAUSE);
+                self.next_at = now + self.retry_delay;
+                self.retry_delay = Span::from_ms(self.retry_delay.as_ms() * 2).min(MAX_RETRY_DELAY);
                 return Update::Nothing;
             }
         };
-        self.pause = FIRST_PAUSE;
-        self.next = now;
+        self.retry_delay = MIN_RETRY_DELAY;
+        self.next_at = now;
         if self.snapshot.version == Version(0) && entry.is_none() {
-            self.next = now + ABSENT_PAUSE;
+            self.next_at = now + ABSENT_VALUE_DELAY;
             return Update::Nothing;
         }
         self.after = Some(at);
         match entry {
-            Some(entry) if entry.revision > self.seen => {
-                self.seen = entry.revision;
-                self.offer(asked, &entry.value)
+            Some(entry) if entry.revision > self.last_read => {
+                self.last_read = entry.revision;
+                self.read_value(sent_at, &entry.value)
             }
             _ => {
-                self.confirm(asked);
-                self.news(false)
+                self.confirm(sent_at);
+                self.take_update(false)
             }
         }
     }
 
-    /// All orders that stand; those that do not were taken back.
+    /// Updates the evacuations from a full listing: those missing from it have ended.
     fn list_evacuations(&mut self, entries: &[Entry], at: Revision) {
-        let standing = entries.iter().filter_map(|entry| {
+        let listed = entries.iter().filter_map(|entry| {
             let domain = (self.source.evacuated)(&entry.key)?;
             Some((domain, entry.revision))
         });
-        let standing: BTreeMap<_, _> = standing.collect();
-        for (domain, order) in &mut self.evacuations {
-            let is_older = order.revision < at;
-            if order.in_force && is_older && !standing.contains_key(domain) {
-                *order = Evacuation {
+        let listed: BTreeMap<_, _> = listed.collect();
+        for (domain, evacuation) in &mut self.evacuations {
+            let is_older = evacuation.revision < at;
+            if evacuation.in_force && is_older && !listed.contains_key(domain) {
+                *evacuation = Evacuation {
                     in_force: false,
                     revision: at,
                 };
             }
         }
-        for (domain, revision) in standing {
-            self.order(domain, true, revision);
+        for (domain, revision) in listed {
+            self.set_evacuation(domain, true, revision);
         }
     }
 
@@ -204,22 +206,22 @@
         for change in changes {
             if let Some(domain) = (self.source.evacuated)(&change.key) {
                 let revision = change.entry.as_ref().map_or(at, |entry| entry.revision);
-                self.order(domain, change.entry.is_some(), revision);
+                self.set_evacuation(domain, change.entry.is_some(), revision);
             }
         }
     }
 
-    /// An older word on a domain than the last one changes nothing.
-    fn order(&mut self, domain: Domain, in_force: bool, revision: Revision) {
-        let order = Evacuation { in_force, revision };
-        let known = self.evacuations.entry(domain).or_insert(order);
+    /// Records the evacuation state of a domain unless a newer one is known.
+    fn set_evacuation(&mut self, domain: Domain, in_force: bool, revision: Revision) {
+        let evacuation = Evacuation { in_force, revision };
+        let known = self.evacuations.entry(domain).or_insert(evacuation);
         if known.revision <= revision {
-            *known = order;
+            *known = evacuation;
         }
     }
 
-    /// What is in force now, if it differs from what was.
-    fn news(&mut self, newer: bool) -> Update {
+    /// Returns the configuration in force if it differs from the one before.
+    fn take_update(&mut self, newer: bool) -> Update {
         let is_new = newer || self.snapshot.evacuations != self.evacuations;
         if !is_new || self.snapshot.version == Version(0) {
             return Update::Nothing;
@@ -229,7 +231,7 @@
         Update::Newer(self.snapshot.clone())
     }
 
-    fn offer(&mut self, asked: Time, value: &str) -> Update {
+    fn read_value(&mut self, sent_at: Time, value: &str) -> Update {
         match (self.source.read)(value) {
             Err(error) => Update::Unusable(error),
             Ok(snapshot) if snapshot.version < self.snapshot.version => {
@@ -244,14 +246,14 @@
                 if newer {
                     self.snapshot = Rc::new(snapshot);
                 }
-                self.confirm(asked);
-                self.news(newer)
+                self.confirm(sent_at);
+                self.take_update(newer)
             }
         }
     }
 
-    /// The version in force was the newest when the question was sent.
-    fn confirm(&mut self, asked: Time) {
-        self.confirmed = self.confirmed.max(Some(asked));
+    /// Records that the version in force was the newest when the call was sent.
+    fn confirm(&mut self, sent_at: Time) {
+        self.confirmed = self.confirmed.max(Some(sent_at));
     }
 }
