--- a/src/version/adoption.rs
+++ b/src/version/adoption.rs
@@ -25,8 +25,8 @@
     delta::{
         Delta,
         Splice,
-        splice,
-        splices, //
+        apply_splices,
+        diff_text, //
     },
     roster::{
         Report,
--- a/src/version/adoption/delta.rs
+++ b/src/version/adoption/delta.rs
@@ -60,7 +60,7 @@
 /// What makes `new` out of `old`, in the order of the old text. Rows that were
 /// added or taken out are found; other differences become one splice from the
 /// first to the last differing byte.
-pub fn splices(old: &str, new: &str) -> Vec<Splice> {
+pub fn diff_text(old: &str, new: &str) -> Vec<Splice> {
     let mut found = Vec::new();
     let (mut old, mut new, mut at) = (old, new, 0);
     while old != new {
@@ -109,7 +109,7 @@
 }
 
 /// Makes the new text, or nothing when the splices belong to another one.
-pub fn splice(old: &str, splices: &[Splice]) -> Option<String> {
+pub fn apply_splices(old: &str, splices: &[Splice]) -> Option<String> {
     let mut new = String::new();
     let mut from = 0;
     for splice in splices {
@@ -162,10 +162,10 @@
             version: new.version,
             change: new.change,
             splices: [
-                splices(&a, &w),
-                splices(&b, &x),
-                splices(&c, &y),
-                splices(&d, &z),
+                diff_text(&a, &w),
+                diff_text(&b, &x),
+                diff_text(&c, &y),
+                diff_text(&d, &z),
             ],
             sum: sum(new)?,
         })
@@ -190,10 +190,10 @@
         let Parts([routes, pools, teams, rest]) = Parts::of(old)?;
         let [a, b, c, d] = &self.splices;
         let parts = Parts([
-            splice(&routes, a)?,
-            splice(&pools, b)?,
-            splice(&teams, c)?,
-            splice(&rest, d)?,
+            apply_splices(&routes, a)?,
+            apply_splices(&pools, b)?,
+            apply_splices(&teams, c)?,
+            apply_splices(&rest, d)?,
         ]);
         let new = parts.join(self.version, self.change)?;
         (sum(&new)? == self.sum).then_some(new)
--- a/tests/fleet/delta.rs
+++ b/tests/fleet/delta.rs
@@ -2,8 +2,8 @@
 
 use bluebellswitch::adoption::{
     Delta,
-    splice,
-    splices, //
+    apply_splices,
+    diff_text, //
 };
 use proptest::prelude::*;
 
@@ -54,17 +54,17 @@
 proptest! {
     #[test]
     fn any_two_texts(old in "[ab\u{e9}]{0,200}", new in "[ab\u{e9}]{0,200}") {
-        prop_assert_eq!(splice(&old, &splices(&old, &new)), Some(new));
+        prop_assert_eq!(apply_splices(&old, &diff_text(&old, &new)), Some(new));
     }
 
     #[test]
     fn an_edited_text(head in ".{0,80}", cut in ".{0,80}", put in ".{0,80}", tail in ".{0,80}") {
         let (old, new) = (format!("{head}{cut}{tail}"), format!("{head}{put}{tail}"));
-        prop_assert_eq!(splice(&old, &splices(&old, &new)), Some(new));
+        prop_assert_eq!(apply_splices(&old, &diff_text(&old, &new)), Some(new));
     }
 
     #[test]
     fn splices_of_another_text_never_panic(a in ".{0,60}", b in ".{0,60}", c in ".{0,60}") {
-        let _ = splice(&c, &splices(&a, &b));
+        let _ = apply_splices(&c, &diff_text(&a, &b));
     }
 }
