--- a/src/version/adoption/delta.rs
+++ b/src/version/adoption/delta.rs
@@ -1,4 +1,4 @@
-//! The difference between two documents.
+//! Computes and applies the difference between two documents.
 
 use serde::{
     Deserialize,
@@ -18,73 +18,76 @@
     },
 };
 
-/// Bytes by which the place is found again where two texts go on alike.
-const ANCHOR: usize = 32;
-/// Splices of one text, at most.
-const SPLICES: usize = 8;
+/// Length in bytes of the run that must match for two texts to count as in step
+/// again after a difference.
+const ANCHOR_BYTES: usize = 32;
+/// Maximum number of splices for one text.
+const MAX_SPLICES: usize = 8;
 
-/// One run of bytes replaced by another.
+/// The replacement of one run of bytes by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Splice {
-    /// Where it begins in the old text, in bytes.
+    /// Byte offset in the old text.
     #[serde(rename = "a")]
     pub at: usize,
-    /// Bytes that go.
+    /// Number of bytes removed.
     #[serde(rename = "c")]
     pub cut: usize,
-    /// What comes in their place.
+    /// The text inserted in their place.
     #[serde(rename = "t")]
     pub text: String,
 }
 
-/// What makes one document out of the one before it.
+/// The difference that turns one version of the document into a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that it applies to.
+    /// The version that the delta applies to.
     #[serde(rename = "b")]
     pub base: Version,
-    /// The version that it makes.
+    /// The version that results.
     #[serde(rename = "v")]
     pub version: Version,
-    /// The change that wrote that.
+    /// The change that produced that version.
     #[serde(rename = "c")]
     pub change: Change,
-    /// What differs in the routes, the pools, the teams and the rest.
+    /// The splices of the routes, the pools, the teams and the remaining fields.
     #[serde(rename = "s")]
     pub splices: [Vec<Splice>; 4],
-    /// Checksum of the document that it makes.
+    /// Checksum of the resulting document.
     #[serde(rename = "h")]
     pub sum: u64,
 }
 
-/// What makes `new` out of `old`, in the order of the old text. Rows that were
-/// added or taken out are found; other differences become one splice from the
-/// first to the last differing byte.
+/// Returns the splices that turn `old` into `new`, in the order of the old text.
+/// Added and removed rows get splices of their own; any other difference, and
+/// what is left when `MAX_SPLICES` is reached, becomes one splice from the first
+/// to the last differing byte.
 pub fn diff_text(old: &str, new: &str) -> Vec<Splice> {
     let mut found = Vec::new();
     let (mut old, mut new, mut at) = (old, new, 0);
     while old != new {
-        let same = common(old.bytes().zip(new.bytes()));
-        let same = boundary(old, new, same, |text, n| text.is_char_boundary(n));
-        (old, new, at) = (&old[same..], &new[same..], at + same);
-        let full = found.len() + 1 >= SPLICES;
-        // Rows look alike, so both may seem to be so: the shorter one is it.
-        let put = added(old, new).filter(|_| !full);
-        let cut = added(new, old).filter(|_| !full);
-        if let Some(put) = put.filter(|put| cut.is_none_or(|cut| *put <= cut)) {
-            let text = new[..put].to_owned();
+        let prefix = common_length(old.bytes().zip(new.bytes()));
+        let prefix = round_down_to_boundary(old, new, prefix, |text, n| text.is_char_boundary(n));
+        (old, new, at) = (&old[prefix..], &new[prefix..], at + prefix);
+        let is_full = found.len() + 1 >= MAX_SPLICES;
+        // Rows resemble each other, so the text may look like an insertion and
+        // a removal at once: the shorter of the two is taken.
+        let inserted = insertion_length(old, new).filter(|_| !is_full);
+        let cut = insertion_length(new, old).filter(|_| !is_full);
+        if let Some(inserted) = inserted.filter(|inserted| cut.is_none_or(|cut| *inserted <= cut)) {
+            let text = new[..inserted].to_owned();
             found.push(Splice { at, cut: 0, text });
-            new = &new[put..];
+            new = &new[inserted..];
         } else if let Some(cut) = cut {
             let text = String::new();
             found.push(Splice { at, cut, text });
             (old, at) = (&old[cut..], at + cut);
         } else {
-            let tail = common(old.bytes().rev().zip(new.bytes().rev()));
+            let suffix = common_length(old.bytes().rev().zip(new.bytes().rev()));
             let from_end = |text: &str, n| text.is_char_boundary(text.len() - n);
-            let tail = boundary(old, new, tail, from_end);
-            let text = new[..new.len() - tail].to_owned();
-            let cut = old.len() - tail;
+            let suffix = round_down_to_boundary(old, new, suffix, from_end);
+            let text = new[..new.len() - suffix].to_owned();
+            let cut = old.len() - suffix;
             found.push(Splice { at, cut, text });
             break;
         }
@@ -92,23 +95,29 @@
     found
 }
 
-/// Where the beginning of `short` comes up in `long`: so much was added.
-fn added(short: &str, long: &str) -> Option<usize> {
-    long.find(short.get(..ANCHOR)?)
+/// Returns how many bytes `long` has before the beginning of `short`, which is
+/// the length of the insertion.
+fn insertion_length(short: &str, long: &str) -> Option<usize> {
+    long.find(short.get(..ANCHOR_BYTES)?)
 }
 
-fn common(pairs: impl Iterator<Item = (u8, u8)>) -> usize {
+fn common_length(pairs: impl Iterator<Item = (u8, u8)>) -> usize {
     pairs.take_while(|(a, b)| a == b).count()
 }
 
-fn boundary(old: &str, new: &str, mut length: usize, fits: impl Fn(&str, usize) -> bool) -> usize {
-    while !fits(old, length) || !fits(new, length) {
+fn round_down_to_boundary(
+    old: &str,
+    new: &str,
+    mut length: usize,
+    is_boundary: impl Fn(&str, usize) -> bool,
+) -> usize {
+    while !is_boundary(old, length) || !is_boundary(new, length) {
         length -= 1;
     }
     length
 }
 
-/// Makes the new text, or nothing when the splices belong to another one.
+/// Applies the splices to `old`, or returns `None` if they don't fit this text.
 pub fn apply_splices(old: &str, splices: &[Splice]) -> Option<String> {
     let mut new = String::new();
     let mut from = 0;
@@ -121,12 +130,12 @@
     Some(new)
 }
 
-/// A document taken apart into texts that change independently, each with its
-/// keys in a fixed order.
+/// A document split into texts that change independently of each other, each
+/// with its keys in a fixed order.
 struct Parts([String; 4]);
 
 impl Parts {
-    fn of(document: &Document) -> Option<Self> {
+    fn split(document: &Document) -> Option<Self> {
         let Value::Object(mut rest) = serde_json::to_value(document).ok()? else {
             return None;
         };
@@ -153,10 +162,11 @@
 }
 
 impl Delta {
-    /// What makes `new` out of `old`, or nothing when that cannot be written.
+    /// Returns the delta from `old` to `new`, or `None` if a document cannot be
+    /// serialized.
     pub fn between(old: &Document, new: &Document) -> Option<Self> {
-        let Parts([a, b, c, d]) = Parts::of(old)?;
-        let Parts([w, x, y, z]) = Parts::of(new)?;
+        let Parts([a, b, c, d]) = Parts::split(old)?;
+        let Parts([w, x, y, z]) = Parts::split(new)?;
         Some(Self {
             base: old.version,
             version: new.version,
@@ -167,27 +177,27 @@
                 diff_text(&c, &y),
                 diff_text(&d, &z),
             ],
-            sum: sum(new)?,
+            sum: checksum(new)?,
         })
     }
 
-    /// Bytes of text that it carries.
+    /// Number of bytes of inserted text.
     pub fn len(&self) -> usize {
         let splices = self.splices.iter().flatten();
         splices.map(|splice| splice.text.len()).sum()
     }
 
-    /// Whether it carries no text.
+    /// Whether the delta inserts no text.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Makes the new document, or nothing when this belongs to another one.
+    /// Returns the new document, or `None` if the delta was made for another one.
     pub fn apply(&self, old: &Document) -> Option<Document> {
         if old.version != self.base {
             return None;
         }
-        let Parts([routes, pools, teams, rest]) = Parts::of(old)?;
+        let Parts([routes, pools, teams, rest]) = Parts::split(old)?;
         let [a, b, c, d] = &self.splices;
         let parts = Parts([
             apply_splices(&routes, a)?,
@@ -196,10 +206,10 @@
             apply_splices(&rest, d)?,
         ]);
         let new = parts.join(self.version, self.change)?;
-        (sum(&new)? == self.sum).then_some(new)
+        (checksum(&new)? == self.sum).then_some(new)
     }
 }
 
-fn sum(document: &Document) -> Option<u64> {
+fn checksum(document: &Document) -> Option<u64> {
     serde_json::to_vec(document).ok().map(|text| xxh3_64(&text))
 }
