--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -25,7 +25,7 @@
         Adopter,
         Outcome,
         Roster,
-        WATCHERS,
+        WATCHERS_PER_DOMAIN,
         Watch, //
     },
     clock::{
@@ -202,7 +202,7 @@
         self.gossip.is_seed = best.iter().any(|peer| peer.instance == me.instance);
         self.gossip.watchers = best
             .into_iter()
-            .take(WATCHERS)
+            .take(WATCHERS_PER_DOMAIN)
             .map(|peer| peer.instance.clone())
             .collect();
     }
@@ -210,7 +210,7 @@
     fn domain_watchers(&self, domain: &Domain) -> Vec<Instance> {
         let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
         let members = self.members.in_domain(domain).filter(is_alive);
-        let best = member::rank_by_rendezvous(members, WATCHER_AND_SEED_SALT, WATCHERS);
+        let best = member::rank_by_rendezvous(members, WATCHER_AND_SEED_SALT, WATCHERS_PER_DOMAIN);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
@@ -320,7 +320,7 @@
                 self.offer_document(now, *document, out);
             }
             Outcome::InvalidDocument(reason) => {
-                self.gossip.adopter.refuse(reason, &mut self.counts)
+                self.gossip.adopter.reject_value(reason, &mut self.counts)
             }
         }
     }
@@ -367,7 +367,7 @@
     fn request_document(&mut self, now: Time, from: Instance, out: &mut Vec<Action>) {
         let message = adoption::Message::Pull {
             from: self.identity.peer.instance.clone(),
-            have: self.gossip.adopter.have(),
+            have: self.gossip.adopter.pull_base(),
         };
         self.send_adoption_message(now, from, message, out);
     }
@@ -402,7 +402,10 @@
             self.gossip.freshness.answered_after_pause();
             self.gossip.cached_standing = None;
         }
-        let newer_at = self.gossip.adopter.hear(now, &instance, news.version);
+        let newer_at = self
+            .gossip
+            .adopter
+            .record_version(now, &instance, news.version);
         if let Some(from) = newer_at {
             self.request_document(now, from, out);
         }
@@ -416,7 +419,7 @@
     ) {
         match message {
             adoption::Message::Pull { from, have } => {
-                if let Some(answer) = self.gossip.adopter.answer(have) {
+                if let Some(answer) = self.gossip.adopter.answer_pull(have) {
                     self.send_adoption_message(now, from, answer, out);
                 }
             }
--- a/src/process/node/fleet/view.rs
+++ b/src/process/node/fleet/view.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the newest document that was rejected, and the reason.
-    pub fn config_fault(&self) -> Option<&adoption::Fault> {
+    pub fn config_fault(&self) -> Option<&adoption::RejectedDocument> {
         self.gossip.adopter.fault()
     }
 
--- a/src/version/adoption.rs
+++ b/src/version/adoption.rs
@@ -60,7 +60,7 @@
 /// Where the document is in the store.
 pub const KEY: &str = "bluebellswitch/config";
 /// Members of each domain that watch the store.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_DOMAIN: usize = 2;
 /// Differences that are kept for those who are a little behind.
 const DELTAS: usize = 16;
 /// How long a pull waits before another member is asked.
@@ -110,7 +110,7 @@
 
 /// A document that was refused, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct RejectedDocument {
     /// Its version.
     pub version: Version,
     /// What is wrong with it.
@@ -133,7 +133,7 @@
     heard: Option<(Version, Instance)>,
     /// A difference did not fit, so the next pull asks for everything.
     whole: bool,
-    fault: Option<Fault>,
+    fault: Option<RejectedDocument>,
 }
 
 impl Adopter {
@@ -148,7 +148,7 @@
     }
 
     /// The newest document that was refused, unless a later one was adopted.
-    pub fn fault(&self) -> Option<&Fault> {
+    pub fn fault(&self) -> Option<&RejectedDocument> {
         self.fault.as_ref()
     }
 
@@ -173,7 +173,7 @@
             Ok(snapshot) => snapshot,
             Err(error) => {
                 counts.add(Counter::Invalid);
-                self.fault = Some(Fault {
+                self.fault = Some(RejectedDocument {
                     version: document.version,
                     reason: error.to_string(),
                 });
@@ -189,14 +189,19 @@
     }
 
     /// The store's value is no document at all.
-    pub fn refuse(&mut self, reason: String, counts: &mut Counts) {
+    pub fn reject_value(&mut self, reason: String, counts: &mut Counts) {
         counts.add(Counter::Invalid);
         let version = self.version();
-        self.fault = Some(Fault { version, reason });
+        self.fault = Some(RejectedDocument { version, reason });
     }
 
     /// A member has this version. Pulls it, unless a pull is under way.
-    pub fn hear(&mut self, now: Time, from: &Instance, version: Version) -> Option<Instance> {
+    pub fn record_version(
+        &mut self,
+        now: Time,
+        from: &Instance,
+        version: Version,
+    ) -> Option<Instance> {
         if version <= self.version() || self.fault.as_ref().is_some_and(|f| f.version == version) {
             return None;
         }
@@ -238,7 +243,7 @@
     }
 
     /// The version to name in a pull.
-    pub fn have(&self) -> Version {
+    pub fn pull_base(&self) -> Version {
         match self.whole {
             true => Version(0),
             false => self.version(),
@@ -246,7 +251,7 @@
     }
 
     /// What brings a member with this version up to date.
-    pub fn answer(&self, have: Version) -> Option<Message> {
+    pub fn answer_pull(&self, have: Version) -> Option<Message> {
         let document = self.document.as_ref()?;
         if have >= document.version {
             return None;
