--- a/src/version/adoption.rs
+++ b/src/version/adoption.rs
@@ -1,11 +1,12 @@
-//! How a node comes to the newest version, and never goes back.
+//! Brings a node to the newest version of the configuration, and never back to
+//! an older one.
 //!
-//! A few members of each domain watch the store; everybody else hears of a new
-//! version by gossip and pulls it from whoever told. What is sent is the
-//! difference to the version that the asker has, or the whole document. Only a
-//! higher version that can be read is ever adopted.
+//! A few members of each domain watch the store; all others learn of a new
+//! version by gossip and pull it from the member that reported it. The answer is
+//! the difference from the version that the requester has, or the whole
+//! document. A node adopts only a higher version that it can parse.
 //!
-//! docs/design/adoption.md weighs the ways.
+//! docs/design/adoption.md compares the alternatives.
 
 mod delta;
 mod roster;
@@ -57,26 +58,26 @@
     },
 };
 
-/// Where the document is in the store.
+/// The key of the document in the store.
 pub const KEY: &str = "bluebellswitch/config";
-/// Members of each domain that watch the store.
+/// Number of members of each domain that watch the store.
 pub const WATCHERS_PER_DOMAIN: usize = 2;
-/// Differences that are kept for those who are a little behind.
-const DELTAS: usize = 16;
-/// How long a pull waits before another member is asked.
-const PULL: Span = Span::from_ms(400);
+/// Number of deltas kept for members that are a few versions behind.
+const MAX_DELTAS: usize = 16;
+/// How long a pull waits for an answer before another member is asked.
+const PULL_TIMEOUT: Span = Span::from_ms(400);
 
-/// What nodes tell each other of versions.
+/// The messages by which nodes exchange versions of the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Send me what is newer than this.
+    /// Requests what is newer than the sender's version.
     #[serde(rename = "p")]
     Pull {
-        /// Who asks.
+        /// The requester.
         #[serde(rename = "f")]
         from: Instance,
-        /// The version that it has; zero when none, or when a difference did
-        /// not fit.
+        /// The version that the requester has; zero if it has none, or if a
+        /// delta could not be applied.
         #[serde(rename = "v")]
         have: Version,
     },
@@ -86,34 +87,34 @@
     /// The whole document.
     #[serde(rename = "s")]
     Snapshot(Box<Document>),
-    /// This version is in force here.
+    /// Reports the version in force at the sender.
     #[serde(rename = "c")]
     Confirm {
-        /// Where.
+        /// The sender.
         #[serde(rename = "f")]
         from: Instance,
-        /// The version.
+        /// The version in force.
         #[serde(rename = "v")]
         version: Version,
     },
-    /// Tell me how far your domain has come.
+    /// Requests a report on the receiver's domain.
     #[serde(rename = "q")]
     Survey {
-        /// Who asks.
+        /// The requester.
         #[serde(rename = "f")]
         from: Instance,
     },
-    /// How far a domain has come.
+    /// Reports how many members of a domain have confirmed the version.
     #[serde(rename = "r")]
     Report(Report),
 }
 
-/// A document that was refused, and why.
+/// A document that was rejected, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedDocument {
-    /// Its version.
+    /// The version of the document, or the one in force if none could be read.
     pub version: Version,
-    /// What is wrong with it.
+    /// Why it was rejected.
     pub reason: String,
 }
 
@@ -123,40 +124,40 @@
     until: Time,
 }
 
-/// The configuration of one node.
+/// The configuration in force at one node, and the state of its pulls.
 #[derive(Clone, Debug, Default)]
 pub struct Adopter {
     document: Option<Rc<Document>>,
     deltas: VecDeque<Delta>,
     pull: Option<Pull>,
-    /// The newest version that was heard of, and from whom.
-    heard: Option<(Version, Instance)>,
-    /// A difference did not fit, so the next pull asks for everything.
-    whole: bool,
+    /// The newest version reported by a member, and that member.
+    newest_reported: Option<(Version, Instance)>,
+    /// A delta could not be applied, so the next pull asks for the whole document.
+    needs_whole: bool,
     fault: Option<RejectedDocument>,
 }
 
 impl Adopter {
-    /// The version in force; zero when there is none.
+    /// Returns the version in force, or zero if there is none.
     pub fn version(&self) -> Version {
         self.document.as_ref().map_or(Version(0), |d| d.version)
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn document(&self) -> Option<&Rc<Document>> {
         self.document.as_ref()
     }
 
-    /// The newest document that was refused, unless a later one was adopted.
+    /// Returns the last rejected document, unless one was adopted since.
     pub fn fault(&self) -> Option<&RejectedDocument> {
         self.fault.as_ref()
     }
 
-    /// Takes a document in force if it is higher and can be read.
+    /// Adopts a document if its version is higher and it can be parsed.
     pub fn offer(&mut self, document: Document, counts: &mut Counts) -> Option<Shared> {
         if document.version <= self.version() {
-            // An older answer of the store or of a peer. Taking it would bring
-            // back a withdrawn key.
+            // An outdated answer of the store or of a peer. Adopting it would
+            // make a revoked key valid again.
             if document.version < self.version() {
                 counts.add(Counter::Stale);
             }
@@ -180,22 +181,23 @@
                 return None;
             }
         };
-        self.remember(&document);
+        self.store_delta(&document);
         self.document = Some(Rc::new(document));
         self.fault = None;
-        self.whole = false;
+        self.needs_whole = false;
         self.pull = None;
         Some(Rc::new(snapshot))
     }
 
-    /// The store's value is no document at all.
+    /// Records that the value in the store is not a document.
     pub fn reject_value(&mut self, reason: String, counts: &mut Counts) {
         counts.add(Counter::Invalid);
         let version = self.version();
         self.fault = Some(RejectedDocument { version, reason });
     }
 
-    /// A member has this version. Pulls it, unless a pull is under way.
+    /// Records that a member has this version. Returns the member to pull from,
+    /// unless a pull is pending.
     pub fn record_version(
         &mut self,
         now: Time,
@@ -205,36 +207,43 @@
         if version <= self.version() || self.fault.as_ref().is_some_and(|f| f.version == version) {
             return None;
         }
-        if self.heard.as_ref().is_none_or(|(v, _)| *v <= version) {
-            self.heard = Some((version, from.clone()));
+        if self
+            .newest_reported
+            .as_ref()
+            .is_none_or(|(v, _)| *v <= version)
+        {
+            self.newest_reported = Some((version, from.clone()));
         }
         if self.pull.as_ref().is_some_and(|pull| now < pull.until) {
             return None;
         }
-        self.begin(now, from.clone())
+        self.start_pull(now, from.clone())
     }
 
-    /// Pulls again when no answer came.
+    /// Returns the member to pull from next if the pending pull got no answer.
     pub fn tick(&mut self, now: Time, other: Option<Instance>) -> Option<Instance> {
         let pull = self.pull.as_ref()?;
         if now < pull.until {
             return None;
         }
-        let behind = self.heard.as_ref().filter(|(v, _)| *v > self.version());
-        let Some((_, teller)) = behind else {
+        let behind = self
+            .newest_reported
+            .as_ref()
+            .filter(|(v, _)| *v > self.version());
+        let Some((_, reporter)) = behind else {
             self.pull = None;
             return None;
         };
-        // The member that was asked in vain is left aside: it may have died.
-        let next = match *teller == pull.from {
-            true => other.unwrap_or_else(|| teller.clone()),
-            false => teller.clone(),
+        // The member that didn't answer is avoided if possible: it may have died.
+        let next = match *reporter == pull.from {
+            true => other.unwrap_or_else(|| reporter.clone()),
+            false => reporter.clone(),
         };
-        self.begin(now, next)
+        self.start_pull(now, next)
     }
 
-    fn begin(&mut self, now: Time, from: Instance) -> Option<Instance> {
-        let until = now + PULL;
+    fn start_pull(&mut self, now: Time, from: Instance) -> Option<Instance> {
+        let until = now + PULL_TIMEOUT;
         self.pull = Some(Pull {
             from: from.clone(),
             until,
@@ -242,15 +251,15 @@
         Some(from)
     }
 
-    /// The version to name in a pull.
+    /// Returns the version to name in a pull.
     pub fn pull_base(&self) -> Version {
-        match self.whole {
+        match self.needs_whole {
             true => Version(0),
             false => self.version(),
         }
     }
 
-    /// What brings a member with this version up to date.
+    /// Returns the message that brings a member with this version up to date.
     pub fn answer_pull(&self, have: Version) -> Option<Message> {
         let document = self.document.as_ref()?;
         if have >= document.version {
@@ -268,33 +277,34 @@
         }
     }
 
-    /// Takes consecutive changes in.
+    /// Applies consecutive deltas and adopts the result.
     pub fn apply(&mut self, deltas: Vec<Delta>, counts: &mut Counts) -> Option<Shared> {
         let mut document = Document::clone(self.document.as_ref()?);
-        let mut moved = false;
+        let mut applied = false;
         for delta in deltas {
             if delta.base < document.version {
                 continue;
             }
             match delta.apply(&document) {
                 Some(next) => document = next,
-                // It belongs to another text, or was damaged: ask for all.
+                // The delta was made for another document, or is damaged: the
+                // next pull asks for the whole document.
                 None => {
-                    self.whole = true;
+                    self.needs_whole = true;
                     return None;
                 }
             }
-            moved = true;
+            applied = true;
         }
-        moved.then(|| self.offer(document, counts)).flatten()
+        applied.then(|| self.offer(document, counts)).flatten()
     }
 
-    fn remember(&mut self, next: &Document) {
+    fn store_delta(&mut self, next: &Document) {
         let old = self.document.as_ref();
         match old.and_then(|old| Delta::between(old, next)) {
             Some(delta) => {
                 self.deltas.push_back(delta);
-                if self.deltas.len() > DELTAS {
+                if self.deltas.len() > MAX_DELTAS {
                     self.deltas.pop_front();
                 }
             }
