--- a/src/command/domain.rs
+++ b/src/command/domain.rs
@@ -70,8 +70,7 @@
         .map(|(manner, name)| -> Job {
             Box::new(move || {
                 let what = format!("domain return {name}");
-                let edit =
-                    move |document: &mut Document| evacuation::end_evacuation(document, &name);
+                let edit = move |document: &mut Document| evacuation::end(document, &name);
                 manner.edit(what, Box::new(edit)).map(drop)
             })
         })
--- a/src/version/evacuation.rs
+++ b/src/version/evacuation.rs
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Returns an error if the domain is not evacuated.
-pub fn end_evacuation(document: &mut Document, domain: &Domain) -> Result<()> {
+pub fn end(document: &mut Document, domain: &Domain) -> Result<()> {
     if document.evacuated.remove(domain) {
         return Ok(());
     }
