--- a/src/process/node/fleet.rs
+++ b/src/process/node/fleet.rs
@@ -25,7 +25,7 @@
         Adopter,
         Outcome,
         Roster,
-        WATCHERS,
+        WATCHERS_PER_DOMAIN,
         Watch, //
     },
     clock::{
@@ -128,7 +128,7 @@
 impl Core {
     pub(super) fn gossip_advance_clock(&mut self, now: Time) {
         if self.gossip.agent.observe_time(now, &mut self.members) {
-            self.gossip.freshness.woke(now);
+            self.gossip.freshness.resumed_after_pause(now);
             self.gossip.cached_standing = None;
         }
     }
@@ -202,7 +202,7 @@
         self.gossip.is_seed = best.iter().any(|peer| peer.instance == me.instance);
         self.gossip.watchers = best
             .into_iter()
-            .take(WATCHERS)
+            .take(WATCHERS_PER_DOMAIN)
             .map(|peer| peer.instance.clone())
             .collect();
     }
@@ -210,7 +210,7 @@
     fn domain_watchers(&self, domain: &Domain) -> Vec<Instance> {
         let is_alive = |peer: &&member::Peer| peer.status == Status::Alive;
         let members = self.members.in_domain(domain).filter(is_alive);
-        let best = member::rank_by_rendezvous(members, WATCHER_AND_SEED_SALT, WATCHERS);
+        let best = member::rank_by_rendezvous(members, WATCHER_AND_SEED_SALT, WATCHERS_PER_DOMAIN);
         best.into_iter().map(|peer| peer.instance.clone()).collect()
     }
 
@@ -312,14 +312,16 @@
         match outcome {
             Outcome::Nothing => {}
             Outcome::Confirmed(at) => self.gossip.freshness.confirm(at),
-            Outcome::News(document, at) => {
+            Outcome::NewDocument(document, at) => {
                 // An older document does not confirm a newer one.
                 if document.version >= self.gossip.adopter.version() {
                     self.gossip.freshness.confirm(at);
                 }
                 self.offer_document(now, *document, out);
             }
-            Outcome::Broken(reason) => self.gossip.adopter.refuse(reason, &mut self.counts),
+            Outcome::InvalidDocument(reason) => {
+                self.gossip.adopter.reject_value(reason, &mut self.counts)
+            }
         }
     }
 
@@ -340,13 +342,18 @@
         };
         self.adopt(snapshot);
         self.gossip.agent.schedule_gossip(self.members.len());
-        self.gossip.roster.adopted(now);
+        self.gossip.roster.restart_schedule(now);
         self.send_confirmations(now, out);
     }
 
     fn send_confirmations(&mut self, now: Time, out: &mut Vec<Action>) {
         let version = self.gossip.adopter.version();
-        if version == Version(0) || !self.gossip.roster.due(now, &self.gossip.watchers) {
+        if version == Version(0)
+            || !self
+                .gossip
+                .roster
+                .confirmation_due(now, &self.gossip.watchers)
+        {
             return;
         }
         let from = self.identity.peer.instance.clone();
@@ -360,7 +367,7 @@
     fn request_document(&mut self, now: Time, from: Instance, out: &mut Vec<Action>) {
         let message = adoption::Message::Pull {
             from: self.identity.peer.instance.clone(),
-            have: self.gossip.adopter.have(),
+            have: self.gossip.adopter.pull_base(),
         };
         self.send_adoption_message(now, from, message, out);
     }
@@ -388,12 +395,17 @@
         };
         let (instance, domain) = (peer.instance.clone(), peer.domain.clone());
         let version = self.gossip.adopter.version();
-        self.gossip.freshness.hear(now, &domain, &news, version);
+        self.gossip
+            .freshness
+            .record_status(now, &domain, &news, version);
         if answered {
-            self.gossip.freshness.proved();
+            self.gossip.freshness.answered_after_pause();
             self.gossip.cached_standing = None;
         }
-        let newer_at = self.gossip.adopter.hear(now, &instance, news.version);
+        let newer_at = self
+            .gossip
+            .adopter
+            .record_version(now, &instance, news.version);
         if let Some(from) = newer_at {
             self.request_document(now, from, out);
         }
@@ -407,7 +419,7 @@
     ) {
         match message {
             adoption::Message::Pull { from, have } => {
-                if let Some(answer) = self.gossip.adopter.answer(have) {
+                if let Some(answer) = self.gossip.adopter.answer_pull(have) {
                     self.send_adoption_message(now, from, answer, out);
                 }
             }
@@ -429,7 +441,7 @@
                     .report(domain, version, age, &self.members);
                 self.send_adoption_message(now, from, adoption::Message::Report(report), out);
             }
-            adoption::Message::Report(report) => self.gossip.roster.reported(report),
+            adoption::Message::Report(report) => self.gossip.roster.record_report(report),
         }
     }
 
@@ -456,7 +468,7 @@
             let with_domains = matches!(send.kind, Kind::Ping { .. } | Kind::Ack { .. });
             let message = member::Message {
                 kind: send.kind,
-                news: self.gossip.freshness.news(now, version, with_domains),
+                news: self.gossip.freshness.status(now, version, with_domains),
                 updates: send.updates,
             };
             out.push(Action::Datagram(send.to, Message::Member(message)));
