--- a/tests/rights.rs
+++ b/tests/rights.rs
@@ -11,3 +11,5 @@
 mod seats;
 #[path = "rights/window.rs"]
 mod window;
+#[path = "rights/wire.rs"]
+mod wire;
